--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -20,7 +20,7 @@
 	MaxArguments = 16       // arguments of a command, its name included
 	MaxArgument  = 4 << 10  // bytes of an argument other than the last
 	MaxBody      = 64 << 10 // bytes of the last argument
-	MaxSkipped   = 1 << 20  // bytes of an argument that is discarded to keep the connection in step
+	MaxSkipped   = 1 << 20  // bytes of an oversized argument that is discarded so that reading can continue
 )
 
 const (
@@ -34,9 +34,9 @@
 // first.
 //
 // After ErrTooLong the whole command has been discarded and the next one can be
-// read. After any other error the reader is out of step and of no more use: the
-// error is io.EOF where the input ended ahead of a command,
-// io.ErrUnexpectedEOF where it ended inside one, a LengthError,
+// read. After any other error the position in the input is undefined and r must
+// not be used any more: the error is io.EOF where the input ended before a
+// command, io.ErrUnexpectedEOF where it ended inside one, a LengthError,
 // ArgumentCountError, ArgumentSizeError or ErrUnterminated where the input is
 // malformed, or else the reader's own error.
 func ReadCommand(r *bufio.Reader) ([][]byte, error) {
@@ -54,8 +54,8 @@
 	return args, nil
 }
 
-// readArguments reads the arguments of a command. It reads all of them, also
-// behind one that is too long.
+// readArguments reads the arguments of a command. Where one of them is too long
+// it still reads those that follow, and returns ErrTooLong.
 func readArguments(r *bufio.Reader, count int) ([][]byte, error) {
 	args := make([][]byte, 0, count)
 	tooLong := false
@@ -80,8 +80,8 @@
 	return args, nil
 }
 
-// readBulkString reads a bulk string of at most limit bytes. One of up to
-// MaxSkipped bytes is discarded instead, which is reported as ErrTooLong.
+// readBulkString reads a bulk string of at most limit bytes. A longer one of up
+// to MaxSkipped bytes is discarded and reported as ErrTooLong.
 func readBulkString(r *bufio.Reader, limit int) ([]byte, error) {
 	size, err := readLength(r, bulkPrefix)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return arg, readEnd(r)
 }
 
-// skipBytes discards the bytes and the end of a bulk string and returns
+// skipBytes discards the bytes of a bulk string and its CRLF, and returns
 // ErrTooLong where that succeeded.
 func skipBytes(r *bufio.Reader, size int) error {
 	if _, err := io.CopyN(io.Discard, r, int64(size)); err != nil {
@@ -112,8 +112,8 @@
 	return ErrTooLong
 }
 
-// readBytes reads the bytes of a bulk string. The memory of a long one is
-// allocated as its bytes arrive.
+// readBytes reads the bytes of a bulk string. The memory for one above
+// MaxArgument is allocated as its bytes arrive.
 func readBytes(r *bufio.Reader, size int) ([]byte, error) {
 	if size <= MaxArgument {
 		arg := make([]byte, size)
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// readLength reads a line of the prefix and a decimal number.
+// readLength reads a line that consists of prefix and a decimal number, and
+// returns the number.
 func readLength(r *bufio.Reader, prefix byte) (int, error) {
 	var line [maxLengthLine]byte
 	for n := range line {
@@ -157,7 +158,7 @@
 }
 
 // parseLength parses a line that ends in a line feed. RESP has one form of each
-// number: "+1", "01" and "-0" are none.
+// number: "+1", "01" and "-0" are malformed.
 func parseLength(line []byte, prefix byte) (int, error) {
 	last := len(line) - 1
 	if last < 2 || line[last-1] != '\r' || line[0] != prefix {
@@ -171,7 +172,7 @@
 	return length, nil
 }
 
-// unexpectedEOF makes an end of the input inside a command an
+// unexpectedEOF replaces io.EOF, where it is met inside a command, by
 // io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
--- a/internal/resp/read_test.go
+++ b/internal/resp/read_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestMalformedCommands: each fault has its type, and the text that clients are told.
+// TestMalformedCommands: each kind of malformed command has its error, and the text that is sent to clients.
 func TestMalformedCommands(t *testing.T) {
 	for input, want := range map[string]struct {
 		err  error
@@ -35,25 +35,26 @@
 	} {
 		args, err := ReadCommand(bufio.NewReader(strings.NewReader(input)))
 		if args != nil || err != want.err || err.Error() != want.text {
-			t.Errorf("%.40q: %d arguments, error %v, want %v", input, len(args), err, want.text)
+			t.Errorf("%.40q: got %d arguments and error %v, want no arguments and error %v", input, len(args), err, want.text)
 		}
 	}
 }
 
-// skipped is an argument of one byte more than may stand ahead of a body.
+// skipped is an argument one byte longer than MaxArgument, with its CRLF.
 var skipped = strings.Repeat("a", MaxArgument+1) + crlf
 
-// TestNextCommandAfterOneTooLong: the connection is in step behind ErrTooLong.
+// TestNextCommandAfterOneTooLong: after ErrTooLong the next command can be read.
 func TestNextCommandAfterOneTooLong(t *testing.T) {
-	in := bufio.NewReader(strings.NewReader("*2\r\n$4097\r\n" + skipped + "$1\r\nb\r\n" + "*1\r\n$4\r\nPING\r\n"))
-	if args, err := ReadCommand(in); args != nil || err != ErrTooLong {
-		t.Errorf("%d arguments, error %v, want %v", len(args), err, ErrTooLong)
+	reader := bufio.NewReader(strings.NewReader("*2\r\n$4097\r\n" + skipped + "$1\r\nb\r\n" + "*1\r\n$4\r\nPING\r\n"))
+	if args, err := ReadCommand(reader); args != nil || err != ErrTooLong {
+		t.Errorf("got %d arguments and error %v, want no arguments and error %v", len(args), err, ErrTooLong)
 	}
-	if args, err := ReadCommand(in); err != nil || len(args) != 1 || string(args[0]) != "PING" {
-		t.Errorf("the next command: %q, error %v", args, err)
+	if args, err := ReadCommand(reader); err != nil || len(args) != 1 || string(args[0]) != "PING" {
+		t.Errorf("next command: got %q and error %v, want PING", args, err)
 	}
 }
 
+// BenchmarkReadCommand measures the reading of valid, oversized and malformed commands.
 func BenchmarkReadCommand(b *testing.B) {
 	const fields = "c=keyed,t=acme,d=20000,dest=7,k=abc"
 	for name, text := range map[string]string{
@@ -66,11 +67,11 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			source := strings.NewReader(text)
-			in := bufio.NewReader(source)
+			reader := bufio.NewReader(source)
 			for b.Loop() {
 				source.Reset(text)
-				in.Reset(source)
-				ReadCommand(in)
+				reader.Reset(source)
+				ReadCommand(reader)
 			}
 		})
 	}
@@ -78,6 +79,7 @@
 
 var errGivenUp = errors.New("given up")
 
+// BenchmarkReply measures the encoding of replies.
 func BenchmarkReply(b *testing.B) {
 	b.Run("busy", func(b *testing.B) {
 		b.ReportAllocs()
