--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	acceptPause   = 10 * time.Millisecond // after an accept that failed
-	acceptSkips   = 8                     // failures in a row that are skipped with no pause
-	acceptLogWait = time.Second           // between two lines on failures
+	acceptRetryDelay          = 10 * time.Millisecond // delay after a failed accept
+	maxImmediateAcceptRetries = 8                     // consecutive failures that are retried without a delay
+	acceptLogInterval         = time.Second           // between two log entries
 )
 
-// acceptBackoff keeps an accept loop going through failures, without spinning.
+// acceptBackoff delays the retries of an accept loop whose accepts fail, and limits how often failures are logged.
 type acceptBackoff struct {
-	log      *slog.Logger
-	clock    clock.Clock
-	listener string // its name in the log
-	inRow    int
-	unlogged int
-	loggedAt clock.Instant
+	log                 *slog.Logger
+	clock               clock.Clock
+	listener            string // name of the listener in the log
+	consecutiveFailures int
+	unloggedFailures    int
+	loggedAt            clock.Instant
 }
 
-// accepted notes a connection.
-func (a *acceptBackoff) accepted() { a.inRow = 0 }
+// accepted records a successful accept.
+func (a *acceptBackoff) accepted() { a.consecutiveFailures = 0 }
 
-// failed notes a failure and returns the pause before the next accept. A
-// connection that was broken in the queue costs the one behind it no time,
-// unless nothing else comes.
+// failed records a failed accept and returns the delay before the next one. A failure that concerns a single queued
+// connection is retried at once, so that the connections behind it are not delayed, up to a number of such failures
+// in a row.
 func (a *acceptBackoff) failed(err error) time.Duration {
-	a.inRow++
-	a.unlogged++
-	if now := a.clock.Now(); a.loggedAt.IsZero() || now.Sub(a.loggedAt) >= acceptLogWait {
-		a.log.Warn(a.listener+": accept", "err", err, "failures", a.unlogged)
-		a.unlogged, a.loggedAt = 0, now
+	a.consecutiveFailures++
+	a.unloggedFailures++
+	if now := a.clock.Now(); a.loggedAt.IsZero() || now.Sub(a.loggedAt) >= acceptLogInterval {
+		a.log.Warn(a.listener+": accept failed", "err", err, "failures", a.unloggedFailures)
+		a.unloggedFailures, a.loggedAt = 0, now
 	}
-	if a.inRow <= acceptSkips && isOfOneConnection(err) {
+	if a.consecutiveFailures <= maxImmediateAcceptRetries && isOfOneConnection(err) {
 		return 0
 	}
-	return acceptPause
+	return acceptRetryDelay
 }
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -261,11 +261,11 @@
 	r.wal = &wal{in: newMailbox[walOp]()}
 	r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}}})
 	num := r.named("s-1").num
-	var qs []*request
+	var qs []*putRequest
 	at := r.now() + 1e9
 	for _, id := range []string{"a", "b", "c"} {
-		q := &request{rec: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
-		m := r.newMessage(q.rec)
+		q := &putRequest{record: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
+		m := r.newMessage(q.record)
 		r.waiting[q] = m
 		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
 		qs = append(qs, q)
--- a/internal/relay/client_faults_test.go
+++ b/internal/relay/client_faults_test.go
@@ -11,58 +11,64 @@
 	"troutusher/internal/resp"
 )
 
-// A message that was read together with the faults that end a connection gets its
-// answer; nothing is begun for it, and answers keep their order.
-func TestMessageBehindTheLastFault(t *testing.T) {
-	_, addr, _ := serveClients(t, func(q *request) { t.Errorf("taken: %s", q.rec.ID); accept(q) })
-	cl := dialClient(t, addr)
-	const unknown = "*1\r\n$3\r\nGET\r\n"
-	io.WriteString(cl, strings.Repeat(unknown, faultsMost+1)+putText("m", fields("plain", 8000, 1), nil)+strings.Repeat(unknown, 3))
-	for i := range faultsMost + 1 {
-		if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("answer %d: %q", i, s)
+// TestMessageAfterLastError: a message that was read together with the invalid commands that close its connection is
+// refused with a busy reply and not taken. The replies keep their order.
+func TestMessageAfterLastError(t *testing.T) {
+	_, addr, _ := serveClients(t, func(request *putRequest) {
+		t.Errorf("message %s was taken, want none", request.record.ID)
+		replyOK(request)
+	})
+	client := dialClient(t, addr)
+	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
+	io.WriteString(client, strings.Repeat(unknownCommand, maxConsecutiveErrors+1)+
+		putText("m", fields("plain", 8000, 1), nil)+strings.Repeat(unknownCommand, 3))
+	for i := range maxConsecutiveErrors + 1 {
+		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+			t.Errorf("reply %d: got %q, want an error reply", i, reply)
 		}
 	}
-	if s := cl.line(); s != "-BUSY" {
-		t.Errorf("the message: %q", s)
+	if reply := client.line(); reply != "-BUSY" {
+		t.Errorf("message: got reply %q, want -BUSY", reply)
 	}
-	cl.orderlyEnd()
+	client.expectCleanEOF()
 }
 
-// Faults end a connection where nothing else comes on it; messages between them are
-// those of a client that is owed its connection.
-func TestFaultsBetweenMessages(t *testing.T) {
-	_, addr, _ := serveClients(t, accept)
-	cl := dialClient(t, addr)
-	const bad = "*1\r\n$3\r\nGET\r\n"
-	for i := range faultsMost + 2 {
-		io.WriteString(cl, bad)
-		if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-			t.Fatalf("fault %d: %q", i, s)
+// TestErrorsBetweenMessages: only invalid commands in a row close a connection. A client that sends valid messages
+// between them keeps it.
+func TestErrorsBetweenMessages(t *testing.T) {
+	_, addr, _ := serveClients(t, replyOK)
+	client := dialClient(t, addr)
+	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
+	for i := range maxConsecutiveErrors + 2 {
+		io.WriteString(client, unknownCommand)
+		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+			t.Fatalf("invalid command %d: got reply %q, want an error reply", i, reply)
 		}
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil); s != "+OK" {
-			t.Fatalf("message %d: %q", i, s)
+		if reply := client.put(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil); reply != "+OK" {
+			t.Fatalf("message %d: got reply %q, want +OK", i, reply)
 		}
 	}
 }
 
-// A message that was read while the last fault's answer was waited for is answered too.
-func TestMessageAheadOfTheLastFault(t *testing.T) {
-	_, addr, _ := serveClients(t, func(q *request) {
-		time.Sleep(50 * time.Millisecond) // for the next message to be read; too short a wait only tests less
-		q.answer(resp.Error(errors.New("no such destination")))
+// TestMessageReadBeforeLastErrorReply: a message that was read while the relay waited for the reply that closes the
+// connection is answered too.
+func TestMessageReadBeforeLastErrorReply(t *testing.T) {
+	_, addr, _ := serveClients(t, func(request *putRequest) {
+		time.Sleep(50 * time.Millisecond) // lets the next message be read; with too short a wait the test covers less
+		request.sendReply(resp.Error(errors.New("no such destination")))
 	})
-	cl := dialClient(t, addr)
-	const unknown = "*1\r\n$3\r\nGET\r\n"
-	io.WriteString(cl, strings.Repeat(unknown, faultsMost-1)+putText("refused", fields("plain", 8000, 1), nil)+
+	client := dialClient(t, addr)
+	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
+	io.WriteString(client, strings.Repeat(unknownCommand, maxConsecutiveErrors-1)+
+		putText("refused", fields("plain", 8000, 1), nil)+
 		putText("ahead", fields("plain", 8000, 1), nil))
-	for i := range faultsMost {
-		if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("answer %d: %q", i, s)
+	for i := range maxConsecutiveErrors {
+		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+			t.Errorf("reply %d: got %q, want an error reply", i, reply)
 		}
 	}
-	if s := cl.line(); s != "-BUSY" {
-		t.Errorf("the message behind: %q", s)
+	if reply := client.line(); reply != "-BUSY" {
+		t.Errorf("message after the last error: got reply %q, want -BUSY", reply)
 	}
-	cl.orderlyEnd()
+	client.expectCleanEOF()
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -20,116 +20,120 @@
 	"troutusher/internal/resp"
 )
 
-// bodyMost is the longest body of a message, in bytes.
-const bodyMost = resp.MaxBody
+// maxBodyBytes is the size limit of a message body.
+const maxBodyBytes = resp.MaxBody
 
 const (
-	writeWait = 2 * time.Second
-	// Clients are known that write a command in 2 s; a bad one is owed its end
+	replyWriteTimeout = 2 * time.Second
+	// Some clients take 2 s to write a command, and a connection with an unfinished command has to be closed
 	// within 3 s.
-	firstWait    = 2600 * time.Millisecond // from a connection to its first whole command
-	wholeWait    = 2600 * time.Millisecond // from a later command's first byte to its last
-	stallWait    = 300 * time.Millisecond  // between two bytes of a command, where others need the place
-	idleWait     = 4 * time.Second         // without a request
-	deadlineMost = 2                       // times what its class has: no message has more left
-	// A message's time counts from when its client sent it, and nobody tells how
-	// long ago that was. The protocol allows 50 ms to what goes by sockets; taken
-	// off here, the whole slack of the rule is left for the end to be told in.
-	underWay     = 50 * time.Millisecond
-	underWayPart = 20 // but no more than one part in so many of what is left
-	unreadWait   = 20 * time.Millisecond
-	// Faults are answered a little later than they could be, and only so many on
-	// a connection: one that sends the same again and again must not eat the core.
-	faultPause = 100 * time.Millisecond
-	faultsMost = 10
-	overMost   = 8 // connections over the number that may be open, while others close
+	firstCommandTimeout = 2600 * time.Millisecond // from accepting a connection to the last byte of its first command
+	commandTimeout      = 2600 * time.Millisecond // from the first to the last byte of each later command
+	commandStallTimeout = 300 * time.Millisecond  // after this pause within a command its connection may be evicted
+	idleTimeout         = 4 * time.Second         // from a reply to the first byte of the next command
+	maxDeadlineFactor   = 2                       // limit of a message's time left, in multiples of its class's deadline
+	// A message's time runs from the moment at which the client sent it, which the relay does not learn. The protocol
+	// allows 50 ms for transit; subtracting that here leaves the whole tolerance of the deadline for reporting the
+	// outcome.
+	transitAllowance        = 50 * time.Millisecond
+	transitAllowanceDivisor = 20 // the allowance is at most the time left divided by this
+	// A connection without a command is not evicted within this time of its accept: its first bytes may not have been
+	// read yet.
+	unreadGracePeriod = 20 * time.Millisecond
+	// Error replies are delayed, and a connection is closed after several in a row, so that a client that repeats an
+	// invalid command does not use up the processor.
+	errorReplyDelay      = 100 * time.Millisecond
+	maxConsecutiveErrors = 10
+	maxConnsOverLimit    = 8 // connections above the limit that may be open while evicted ones close
 )
 
-var errUnfinished = errors.New("command not finished in time")
+var errCommandTimeout = errors.New("command not finished in time")
 
-// request is a message that a client hands in; answer is called once.
-type request struct {
-	rec   *record
-	left  time.Duration
-	reply chan string
+// putRequest is a MSG.PUT command of a client. sendReply is called once.
+type putRequest struct {
+	record   *record
+	timeLeft time.Duration // until the deadline, as the client stated it
+	reply    chan string   // receives the reply where the client is connected to this process
 
-	// Where another process has the client: its way back, and whether an answer
-	// was given.
-	to       func(string)
-	answered bool
+	// For a request that the predecessor process forwards: forward sends the reply back to that process, and
+	// replied reports whether a reply was sent.
+	forward func(string)
+	replied bool
 }
 
-func (q *request) answer(s string) {
-	if q.to != nil {
-		q.to(s)
+func (r *putRequest) sendReply(reply string) {
+	if r.forward != nil {
+		r.forward(reply)
 		return
 	}
-	q.reply <- s
+	r.reply <- reply
 }
 
-// parsePut reads a handed-in message; what is wrong is named, and nothing is
-// taken.
-func (c *Config) parsePut(args [][]byte, now clock.Instant) (*request, error) {
+// parsePut parses the arguments of a MSG.PUT command that was read at now. The error names the invalid argument or
+// field.
+func (c *Config) parsePut(args [][]byte, now clock.Instant) (*putRequest, error) {
 	if len(args) != 5 {
 		return nil, fmt.Errorf("MSG.PUT takes 4 arguments, %d came", len(args)-1)
 	}
 	id := string(args[2])
-	if !token(id) {
+	if !isHeaderToken(id) {
 		return nil, errors.New("id: empty, too long or not plain")
 	}
-	q := &request{rec: &record{Kind: recTaken, ID: id, body: args[4]}, reply: make(chan string, 1)}
-	have := map[string]string{}
-	for part := range strings.SplitSeq(string(args[3]), ",") {
-		name, value, ok := strings.Cut(part, "=")
+	request := &putRequest{record: &record{Kind: recTaken, ID: id, body: args[4]}, reply: make(chan string, 1)}
+	values := map[string]string{}
+	for field := range strings.SplitSeq(string(args[3]), ",") {
+		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return nil, fmt.Errorf("field %q without a value", part)
+			return nil, fmt.Errorf("field %q without a value", field)
 		}
-		have[name] = value
+		values[name] = value
 	}
-	class, ok := c.classes[have["c"]]
+	classIndex, ok := c.classes[values["c"]]
 	if !ok {
-		return nil, fmt.Errorf("c: unknown class %q", have["c"])
+		return nil, fmt.Errorf("c: unknown class %q", values["c"])
 	}
-	q.rec.Class = have["c"]
-	if _, ok := c.tenants[have["t"]]; !ok && len(c.tenants) > 0 {
-		return nil, fmt.Errorf("t: unknown tenant %q", have["t"])
+	request.record.Class = values["c"]
+	if _, ok := c.tenants[values["t"]]; !ok && len(c.tenants) > 0 {
+		return nil, fmt.Errorf("t: unknown tenant %q", values["t"])
 	}
-	q.rec.Tenant = have["t"]
-	ms, err := milliseconds(have["d"])
+	request.record.Tenant = values["t"]
+	deadlineMS, err := parseMilliseconds(values["d"])
 	if err != nil {
 		return nil, fmt.Errorf("d: %w", err)
 	}
-	if most := float64(c.Policy.Classes[class].Deadline) / 1000; ms > deadlineMost*most {
-		return nil, fmt.Errorf("d: %v ms, and messages of class %s have %v at most", ms, q.rec.Class, most)
+	if classDeadlineMS := float64(c.Policy.Classes[classIndex].Deadline) / 1000; deadlineMS >
+		maxDeadlineFactor*classDeadlineMS {
+		return nil, fmt.Errorf("d: %v ms, and messages of class %s have %v at most",
+			deadlineMS, request.record.Class, classDeadlineMS)
 	}
-	q.left = time.Duration(ms * float64(time.Millisecond))
-	q.rec.Deadline = now.Add(q.left - min(underWay, q.left/underWayPart))
-	dest, err := strconv.ParseUint(have["dest"], 10, 32)
+	request.timeLeft = time.Duration(deadlineMS * float64(time.Millisecond))
+	request.record.Deadline = now.Add(request.timeLeft - min(transitAllowance, request.timeLeft/transitAllowanceDivisor))
+	dest, err := strconv.ParseUint(values["dest"], 10, 32)
 	if err != nil {
-		return nil, fmt.Errorf("dest: %.32q is no destination", have["dest"])
+		return nil, fmt.Errorf("dest: %.32q is no destination", values["dest"])
 	}
-	q.rec.Dest = int(dest)
-	if q.rec.Key = have["k"]; q.rec.Key != "" && !token(q.rec.Key) {
+	request.record.Dest = int(dest)
+	if request.record.Key = values["k"]; request.record.Key != "" && !isHeaderToken(request.record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.rec.Key == "" && c.keyed(class) {
+	if request.record.Key == "" && c.keyed(classIndex) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
-	return q, nil
+	return request, nil
 }
 
-// milliseconds reads a time: digits, maybe with decimals. What a number may
-// look like elsewhere (a sign, an exponent, hexadecimal) is no time.
-func milliseconds(s string) (float64, error) {
-	whole, _, _ := strings.Cut(s, ".")
-	if whole == "" || len(s) > 24 || strings.Trim(s, "0123456789.") != "" {
-		return 0, fmt.Errorf("%.32q is no time in milliseconds", s)
+// parseMilliseconds parses decimal digits with an optional fraction. It rejects signs, exponents and hexadecimal
+// numbers.
+func parseMilliseconds(text string) (float64, error) {
+	integerPart, _, _ := strings.Cut(text, ".")
+	if integerPart == "" || len(text) > 24 || strings.Trim(text, "0123456789.") != "" {
+		return 0, fmt.Errorf("%.32q is no time in milliseconds", text)
 	}
-	return strconv.ParseFloat(s, 64)
+	return strconv.ParseFloat(text, 64)
 }
 
-// token reports whether s can stand in a header as it is.
-func token(s string) bool {
+// isHeaderToken reports whether s can be an HTTP header value without escaping.
+func isHeaderToken(s string) bool {
 	if s == "" || len(s) > 256 {
 		return false
 	}
@@ -141,107 +145,106 @@
 	return true
 }
 
-// clients serves those who hand messages in.
+// clients is the server side of the client protocol.
 type clients struct {
-	clock clock.Clock
-	log   *slog.Logger
-	put   func(*request)            // hands it to the loop, which answers
-	said  func(q *request, ok bool) // the answer was written, or its client is gone
-	// One that says nothing, or begins a command and does not end it, must not
-	// hold its place for ever.
-	first, whole, quiet time.Duration
-
-	mu      sync.Mutex
-	cfg     *Config
-	most    int
-	conns   map[*clientConn]bool // until their descriptors are free
-	room    room                 // since it was last logged
-	toldAt  clock.Instant
-	serving bool // connections are accepted
-	drained bool // by the operators, who can take it back
-	closing bool // for good
-	handed  bool // closing, but another process of this relay takes clients
-}
-
-// clientConn is one connection. What is said of it is guarded by the lock of
-// clients.
+	clock        clock.Clock
+	log          *slog.Logger
+	submit       func(*putRequest)                  // passes the request to the event loop, which calls sendReply
+	replyWritten func(request *putRequest, ok bool) // reports whether the reply was written before the client left
+	// The timeouts close connections that send nothing or do not finish a command.
+	firstCommandTimeout, commandTimeout, idleTimeout time.Duration
+
+	mu                sync.Mutex
+	cfg               *Config
+	maxConns          int
+	conns             map[*clientConn]bool // connections whose descriptors are in use, closing ones included
+	evictions         evictionCounts       // since evictionsLoggedAt
+	evictionsLoggedAt clock.Instant
+	serving           bool // connections are accepted
+	drained           bool // set by DRAIN and reset by UNDRAIN
+	closing           bool // the client side is shutting down; never reset
+	handedOver        bool // closing, and the successor process of this relay accepts clients
+}
+
+// clientConn is one client connection. Its fields are guarded by clients.mu, except for those marked otherwise.
 type clientConn struct {
 	net.Conn
-	clock    clock.Clock
-	busy     int          // requests begun and not answered
-	reading  bool         // the last of them has not been read whole
-	heardAt  atomic.Int64 // the instant at which it last brought anything
-	faults   int          // in a row; of the answering goroutine alone
-	wrote    bool         // something was answered; likewise
-	broken   bool         // an answer could not be written; likewise
-	ending   bool         // nothing more is read but what has been taken from the socket
-	evicted  bool         // its place is needed
-	idle     clock.Instant
-	spoke    bool // has sent a whole command
-	released bool
-}
-
-// Read notes when something came.
+	clock             clock.Clock
+	inFlight          int          // requests whose first byte was read and whose reply is not written
+	readingCommand    bool         // the latest request has not been read to its end
+	lastReadAt        atomic.Int64 // clock.Instant of the latest read that returned data; needs no lock
+	consecutiveErrors int          // error replies in a row; used by the replying goroutine only
+	replied           bool         // a reply was written, or its write failed; used by the replying goroutine only
+	writeFailed       bool         // a reply could not be written; used by the replying goroutine only
+	readStopped       bool         // nothing more is read from the socket, only from the buffer
+	evicted           bool         // closed to free a connection slot for another client
+	idleSince         clock.Instant
+	sentCommand       bool // a whole command has been read
+	closing           bool // the connection is closed once no request is in flight
+}
+
+// Read reads from the connection and records the time of each read that returns data.
 func (cc *clientConn) Read(b []byte) (int, error) {
 	n, err := readOnce(cc.Conn, b)
 	if n > 0 {
-		cc.heardAt.Store(int64(cc.clock.Now()))
+		cc.lastReadAt.Store(int64(cc.clock.Now()))
 	}
 	return n, err
 }
 
-// heard is when the connection last brought anything.
-func (cc *clientConn) heard() clock.Instant { return clock.Instant(cc.heardAt.Load()) }
+// lastRead returns the time of the latest read that returned data.
+func (cc *clientConn) lastRead() clock.Instant { return clock.Instant(cc.lastReadAt.Load()) }
 
-// readUntil sets the moment at which reading ends.
+// readUntil sets the read deadline.
 func (cc *clientConn) readUntil(at clock.Instant) {
 	cc.SetReadDeadline(clock.Deadline(clock.Until(cc.clock, at)))
 }
 
-// release ends the wait for a next request, for good. A connection is closed
-// only so: where a request's first byte has been read by then, it is answered
-// first.
-func (cc *clientConn) release() {
-	cc.released = true
+// beginClose ends the wait for the next request permanently, which closes the connection. A request whose first byte
+// has been read is answered first. The caller holds clients.mu.
+func (cc *clientConn) beginClose() {
+	cc.closing = true
 	cc.SetReadDeadline(clock.Past)
 }
 
-func newClients(cfg *Config, clk clock.Clock, log *slog.Logger, put func(*request), said func(*request, bool)) *clients {
-	most, _ := cfg.budget()
-	return &clients{cfg: cfg, clock: clk, log: log, put: put, said: said, most: most,
-		first: firstWait, whole: cmp.Or(cfg.commandTime, wholeWait), quiet: idleWait, conns: map[*clientConn]bool{}}
+func newClients(cfg *Config, clk clock.Clock, log *slog.Logger, submit func(*putRequest),
+	replyWritten func(*putRequest, bool)) *clients {
+	maxConns, _ := cfg.budget()
+	return &clients{cfg: cfg, clock: clk, log: log, submit: submit, replyWritten: replyWritten, maxConns: maxConns,
+		firstCommandTimeout: firstCommandTimeout, commandTimeout: cmp.Or(cfg.commandTime, commandTimeout),
+		idleTimeout: idleTimeout, conns: map[*clientConn]bool{}}
 }
 
-// serve accepts until the listener is closed.
-func (c *clients) serve(ln net.Listener) error {
+// serve accepts connections until the listener is closed.
+func (c *clients) serve(listener net.Listener) error {
 	c.setServing(true)
 	defer c.setServing(false)
 	backoff := acceptBackoff{log: c.log, clock: c.clock, listener: "clients"}
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			if errors.Is(err, os.ErrDeadlineExceeded) { // paused, while another process may take over
+			if errors.Is(err, os.ErrDeadlineExceeded) { // accepting is paused during a hand-over
 				time.Sleep(2 * time.Millisecond)
 				continue
 			}
-			// Out of descriptors, or the client has left already: neither ends the relay.
+			// Errors such as a lack of descriptors or a client that has disconnected already are temporary.
 			time.Sleep(backoff.failed(err))
 			continue
 		}
 		backoff.accepted()
-		cc := &clientConn{Conn: conn, clock: c.clock, idle: c.clock.Now()}
-		entered := c.enter(cc)
-		c.tellRoom()
-		if !entered {
-			cc.Close() // cheaply: a flood must leave time for the others
+		cc := &clientConn{Conn: conn, clock: c.clock, idleSince: c.clock.Now()}
+		admitted := c.admitConn(cc)
+		c.logEvictions()
+		if !admitted {
+			cc.Close() // without a reply, so that a flood of connections costs little
 			continue
 		}
 		go func() {
-			c.talk(cc)
-			c.hangUp(cc)
+			c.handleConn(cc)
+			c.closeConn(cc)
 			c.mu.Lock()
 			delete(c.conns, cc)
 			c.mu.Unlock()
@@ -249,139 +252,140 @@
 	}
 }
 
-// enter gives a connection its place, if need be that of another. Those that
-// have said nothing yet hold half of the places at most.
-func (c *clients) enter(cc *clientConn) bool {
+// admitConn adds a connection, and evicts another one where the limit is reached. It reports false where the
+// connection is refused. Connections without a command so far occupy at most half of the limit.
+func (c *clients) admitConn(cc *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var silent, idle, stalled *clientConn // the oldest of each kind
-	silents := 0
-	for x := range c.conns {
+	var oldestSilent, oldestIdle, oldestStalled *clientConn
+	silentCount := 0
+	for other := range c.conns {
 		switch {
-		case x.released:
-		case x.reading:
-			if stalled == nil || x.heard() < stalled.heard() {
-				stalled = x
+		case other.closing:
+		case other.readingCommand:
+			if oldestStalled == nil || other.lastRead() < oldestStalled.lastRead() {
+				oldestStalled = other
 			}
-		case x.busy > 0:
-		case x.spoke:
-			if idle == nil || x.idle < idle.idle {
-				idle = x
+		case other.inFlight > 0:
+		case other.sentCommand:
+			if oldestIdle == nil || other.idleSince < oldestIdle.idleSince {
+				oldestIdle = other
 			}
 		default:
-			silents++
-			if silent == nil || x.idle < silent.idle {
-				silent = x
+			silentCount++
+			if oldestSilent == nil || other.idleSince < oldestSilent.idleSince {
+				oldestSilent = other
 			}
 		}
 	}
-	if silent != nil && cc.idle.Sub(silent.idle) < unreadWait {
-		silent = nil // what it sent may not have been read yet
+	if oldestSilent != nil && cc.idleSince.Sub(oldestSilent.idleSince) < unreadGracePeriod {
+		oldestSilent = nil // its first bytes may not have been read yet
 	}
-	if stalled != nil && cc.idle.Sub(stalled.heard()) < stallWait {
-		stalled = nil // it is being written
+	if oldestStalled != nil && cc.idleSince.Sub(oldestStalled.lastRead()) < commandStallTimeout {
+		oldestStalled = nil // its client is still writing the command
 	}
-	if crowd := silents >= max(c.most/2, 1); crowd || len(c.conns) >= c.most {
-		// Clients open another when they need it. One let go keeps counting
+	if tooManySilent := silentCount >= max(c.maxConns/2, 1); tooManySilent || len(c.conns) >= c.maxConns {
+		// A client whose connection is evicted opens another one when it needs it. An evicted connection counts
 		// until its descriptor is free.
 		switch {
-		case silent != nil:
-			silent.release()
-			c.room.silent++
-		case idle != nil && !crowd:
-			idle.evict()
-			c.room.idle++
-		case stalled != nil && !crowd:
-			stalled.evict()
-			c.room.stalled++
+		case oldestSilent != nil:
+			oldestSilent.beginClose()
+			c.evictions.silent++
+		case oldestIdle != nil && !tooManySilent:
+			oldestIdle.evict()
+			c.evictions.idle++
+		case oldestStalled != nil && !tooManySilent:
+			oldestStalled.evict()
+			c.evictions.stalled++
 		default:
-			c.room.refused++
+			c.evictions.refused++
 			return false
 		}
 	}
-	if len(c.conns) >= c.most+overMost {
-		c.room.refused++
+	if len(c.conns) >= c.maxConns+maxConnsOverLimit {
+		c.evictions.refused++
 		return false
 	}
 	c.conns[cc] = true
-	cc.readUntil(cc.idle.Add(c.first))
+	cc.readUntil(cc.idleSince.Add(c.firstCommandTimeout))
 	return true
 }
 
-// room counts who made room for new connections.
-type room struct{ silent, idle, stalled, refused int }
+// evictionCounts counts the connections that were evicted, by their state, and those that were refused.
+type evictionCounts struct{ silent, idle, stalled, refused int }
 
-// tellRoom logs it, now and then.
-func (c *clients) tellRoom() {
+// logEvictions logs the counts of evicted and refused connections, at most once a second.
+func (c *clients) logEvictions() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.room == (room{}) || !c.toldAt.IsZero() && clock.Since(c.clock, c.toldAt) < time.Second {
+	if c.evictions == (evictionCounts{}) ||
+		!c.evictionsLoggedAt.IsZero() && clock.Since(c.clock, c.evictionsLoggedAt) < time.Second {
 		return
 	}
-	c.log.Warn("clients: full, connections made room", "silent", c.room.silent, "idle", c.room.idle, "stalled", c.room.stalled,
-		"turned_away", c.room.refused, "most", c.most)
-	c.room, c.toldAt = room{}, c.clock.Now()
+	c.log.Warn("clients: connection limit reached, connections evicted or refused", "silent", c.evictions.silent,
+		"idle", c.evictions.idle, "stalled", c.evictions.stalled, "turned_away", c.evictions.refused, "most", c.maxConns)
+	c.evictions, c.evictionsLoggedAt = evictionCounts{}, c.clock.Now()
 }
 
-// retune takes a new configuration, for what is read from here on.
-func (c *clients) retune(cfg *Config, most int) {
+// reconfigure applies a new configuration to the commands that are read from now on.
+func (c *clients) reconfigure(cfg *Config, maxConns int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cfg, c.most = cfg, most
-	for over := c.waiting() - most; over > 0; over-- { // the numbers may have gone down
-		if cc := c.oldest(); cc != nil {
-			cc.release()
+	c.cfg, c.maxConns = cfg, maxConns
+	for excess := c.countOpen() - maxConns; excess > 0; excess-- { // the limit may have been lowered
+		if cc := c.oldestIdle(); cc != nil {
+			cc.beginClose()
 		}
 	}
 }
 
-// waiting counts the connections that have not been let go; the caller holds mu.
-func (c *clients) waiting() (n int) {
+// countOpen counts the connections that are not closing. The caller holds mu.
+func (c *clients) countOpen() (n int) {
 	for cc := range c.conns {
-		if !cc.released {
+		if !cc.closing {
 			n++
 		}
 	}
 	return n
 }
 
-// oldest is the connection without a request that has been so for longest, one
-// that never had any before the others; nil for none. The caller holds mu.
-func (c *clients) oldest() (found *clientConn) {
+// oldestIdle returns the connection that has been idle for longest, or nil. Connections without a command so far come
+// before all others. The caller holds mu.
+func (c *clients) oldestIdle() (found *clientConn) {
 	for cc := range c.conns {
-		if cc.busy > 0 || cc.released {
+		if cc.inFlight > 0 || cc.closing {
 			continue
 		}
-		if found == nil || found.spoke && !cc.spoke || found.spoke == cc.spoke && cc.idle < found.idle {
+		if found == nil || found.sentCommand && !cc.sentCommand ||
+			found.sentCommand == cc.sentCommand && cc.idleSince < found.idleSince {
 			found = cc
 		}
 	}
 	return found
 }
 
-func (c *clients) setServing(on bool) {
+func (c *clients) setServing(serving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving = on
+	c.serving = serving
 }
 
-// ready reports whether clients are taken.
+// ready reports whether clients are served.
 func (c *clients) ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.serving && !c.leaving()
+	return c.serving && !c.draining()
 }
 
-// leaving reports whether clients are sent away: each connection goes once it
-// carries no request. The caller holds mu.
-func (c *clients) leaving() bool { return c.drained || c.closing }
+// draining reports whether each connection is closed once it has no request in flight. The caller holds mu.
+func (c *clients) draining() bool { return c.drained || c.closing }
 
-// away tells why clients are sent away; empty where they are not.
-func (c *clients) away() string {
+// drainReason returns why the relay closes client connections, or an empty string where it does not.
+func (c *clients) drainReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.handed: // whoever asks means the relay
+	case c.handedOver: // the successor process serves on, so the relay as a whole is not draining
 		return ""
 	case c.closing:
 		return "ending"
@@ -391,32 +395,31 @@
 	return ""
 }
 
-// unready tells why clients are not taken.
-func (c *clients) unready() string {
+// notReadyReason returns why clients are not served.
+func (c *clients) notReadyReason() string {
 	c.mu.Lock()
-	handed := c.handed
+	handedOver := c.handedOver
 	c.mu.Unlock()
-	if handed {
+	if handedOver {
 		return "handed over"
 	}
-	return cmp.Or(c.away(), "starting")
+	return cmp.Or(c.drainReason(), "starting")
 }
 
-// closeIdle ends the client side: the connections that carry no request are
-// closed, and each of the others after its answer.
-func (c *clients) closeIdle() {
+// shutDown closes the client side: idle connections at once, and each of the others after its reply.
+func (c *clients) shutDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
-	c.releaseIdle()
+	c.closeIdleConns()
 }
 
-// handOver ends the client side of this process alone.
+// handOver closes the client side of this process, while its successor serves clients.
 func (c *clients) handOver() {
 	c.mu.Lock()
-	c.handed = true
+	c.handedOver = true
 	c.mu.Unlock()
-	c.closeIdle()
+	c.shutDown()
 }
 
 func (c *clients) count() int {
@@ -425,15 +428,16 @@
 	return len(c.conns)
 }
 
-// drain sends the clients away; what they handed in goes on to its end.
+// drain closes the client connections as shutDown does, but can be undone. Messages already taken are delivered as
+// usual.
 func (c *clients) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drained = true
-	c.releaseIdle()
+	c.closeIdleConns()
 }
 
-// undrain takes clients again. It reports false where the relay ends anyway.
+// undrain serves clients again. It reports false where the client side is shutting down.
 func (c *clients) undrain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -441,76 +445,76 @@
 	return !c.closing
 }
 
-// releaseIdle lets go of what carries no request; the caller holds mu. One that
-// has not sent its first yet has its own time for that, and goes after it.
-func (c *clients) releaseIdle() {
+// closeIdleConns closes the connections that have no request in flight. A connection without a command so far keeps
+// its timeout for the first one and is closed after that. The caller holds mu.
+func (c *clients) closeIdleConns() {
 	for cc := range c.conns {
-		if cc.busy == 0 && cc.spoke {
-			cc.release()
+		if cc.inFlight == 0 && cc.sentCommand {
+			cc.beginClose()
 		}
 	}
 }
 
-// letGo reports whether the end of what a connection sends is our own doing:
-// its client is there, and a request that crossed that is still answered.
-func (c *clients) letGo(cc *clientConn) bool {
+// isClosing reports whether the relay itself ended the reading of a connection. Its client is still there then, and a
+// request that was read is answered.
+func (c *clients) isClosing(cc *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return cc.released
+	return cc.closing
 }
 
-// begin marks a request whose first byte has come.
-func (c *clients) begin(cc *clientConn) {
+// beginRequest records that the first byte of a request has been read.
+func (c *clients) beginRequest(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.busy++
-	cc.reading = true
-	if cc.ending {
+	cc.inFlight++
+	cc.readingCommand = true
+	if cc.readStopped {
 		return
 	}
-	if cc.spoke { // a first command has the time that its connection has
-		cc.SetReadDeadline(clock.Deadline(c.whole))
-	} else if cc.released {
-		cc.SetReadDeadline(clock.Deadline(c.first))
+	if cc.sentCommand { // the deadline of the first command was set when the connection was accepted
+		cc.SetReadDeadline(clock.Deadline(c.commandTimeout))
+	} else if cc.closing {
+		cc.SetReadDeadline(clock.Deadline(c.firstCommandTimeout))
 	}
 }
 
-// read marks that a whole command has been read.
-func (c *clients) read(cc *clientConn) {
+// commandRead records that a whole command has been read.
+func (c *clients) commandRead(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.spoke, cc.reading = true, false
-	c.await(cc)
+	cc.sentCommand, cc.readingCommand = true, false
+	c.awaitRequest(cc)
 }
 
-// await sets the time for the next request to begin. One that was let go, and
-// is only still answered, gets none. The caller holds mu.
-func (c *clients) await(cc *clientConn) {
+// awaitRequest sets the read deadline for the first byte of the next request. A closing connection reads no further
+// request. The caller holds mu.
+func (c *clients) awaitRequest(cc *clientConn) {
 	switch {
-	case cc.ending || cc.released || c.leaving() && cc.busy == 0:
+	case cc.readStopped || cc.closing || c.draining() && cc.inFlight == 0:
 		cc.SetReadDeadline(clock.Past)
-	case cc.busy > 0:
+	case cc.inFlight > 0:
 		cc.SetReadDeadline(time.Time{})
 	default:
-		cc.readUntil(cc.idle.Add(c.quiet))
+		cc.readUntil(cc.idleSince.Add(c.idleTimeout))
 	}
 }
 
-// finish marks a request answered. Where the connection is to go, its reader
-// finds that out, and whether anything came on it meanwhile.
-func (c *clients) finish(cc *clientConn) {
+// finishRequest records that a request was answered. On a connection that is to be closed this ends the wait of its
+// reading goroutine, which then checks whether another request has arrived.
+func (c *clients) finishRequest(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.busy--
-	cc.idle = c.clock.Now()
-	if cc.busy == 0 {
-		c.await(cc)
+	cc.inFlight--
+	cc.idleSince = c.clock.Now()
+	if cc.inFlight == 0 {
+		c.awaitRequest(cc)
 	}
 }
 
-// crossed reports whether a request came as the wait for it ended: closing the
-// connection now would reset it under its client. The request is then read.
-func (c *clients) crossed(cc *clientConn, err error) bool {
+// requestArrived reports whether the wait for a request has timed out with data unread in the socket. Closing the
+// connection would reset it and lose the request, so the read deadline is extended for the request to be read.
+func (c *clients) requestArrived(cc *clientConn, err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
@@ -519,143 +523,152 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cc.ending {
+	if cc.readStopped {
 		return false
 	}
-	cc.SetReadDeadline(clock.Deadline(c.whole))
+	cc.SetReadDeadline(clock.Deadline(c.commandTimeout))
 	return true
 }
 
-type command struct {
-	args [][]byte
-	err  error
-	at   clock.Instant
+// clientCommand is a command that was read from a connection, or the error of reading it.
+type clientCommand struct {
+	args   [][]byte
+	err    error
+	readAt clock.Instant
 }
 
-// talk answers one client's commands in turn. A goroutine of its own reads, so
-// that a client that leaves before its answer is noticed.
-func (c *clients) talk(cc *clientConn) {
-	commands := make(chan command)
-	var ahead *command // read, and not answered as the connection ends
-	defer func() { c.answerRest(cc, ahead, commands) }()
+// handleConn answers the commands of one connection in their order. A separate goroutine reads them, so that a client
+// that disconnects before its reply is noticed.
+func (c *clients) handleConn(cc *clientConn) {
+	commands := make(chan clientCommand)
+	var pipelined *clientCommand // read, but not answered when the connection fails
+	defer func() { c.replyToRemaining(cc, pipelined, commands) }()
 	go func() {
 		defer close(commands)
-		in := bufio.NewReader(cc)
+		reader := bufio.NewReader(cc)
 		for {
-			if _, err := in.Peek(1); err != nil {
-				if c.crossed(cc, err) {
+			if _, err := reader.Peek(1); err != nil {
+				if c.requestArrived(cc, err) {
 					continue
 				}
 				return
 			}
-			c.begin(cc)
-			args, err := resp.ReadCommand(in)
+			c.beginRequest(cc)
+			args, err := resp.ReadCommand(reader)
 			switch {
 			case err == nil || err == resp.ErrTooLong:
-				c.read(cc)
+				c.commandRead(cc)
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				err = errUnfinished
+				err = errCommandTimeout
 			case errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, new(net.Error)):
-				return // nobody is there to be told
+				return // the client has disconnected
 			}
-			commands <- command{args, err, c.clock.Now()}
+			commands <- clientCommand{args, err, c.clock.Now()}
 			if err != nil && err != resp.ErrTooLong {
 				return
 			}
 		}
 	}()
 	for cmd := range commands {
-		for more := &cmd; more != nil; {
-			cmd := *more
-			if cmd.err == errUnfinished && c.letGo(cc) { // another needs the place
-				c.write(cc, resp.Error(cmd.err))
+		for next := &cmd; next != nil; {
+			cmd := *next
+			// Where the relay ended the reading, the incomplete command is no error of the client.
+			if cmd.err == errCommandTimeout && c.isClosing(cc) {
+				c.writeReply(cc, resp.Error(cmd.err))
 				return
 			}
 			if cmd.err != nil && cmd.err != resp.ErrTooLong {
-				c.fault(cc, cmd.err)
+				c.replyError(cc, cmd.err)
 				return
 			}
 			ok := false
-			ok, more = c.one(cc, cmd, commands)
+			ok, next = c.handleCommand(cc, cmd, commands)
 			if !ok {
-				ahead = more
+				pipelined = next
 				return
 			}
-			c.finish(cc)
+			c.finishRequest(cc)
 		}
 	}
 }
 
-// one answers one command. It hands back what the client sent ahead of the
-// answer, and false where the connection is of no more use.
-func (c *clients) one(cc *clientConn, cmd command, commands chan command) (bool, *command) {
+// handleCommand answers one command. It reports false where the connection has to be closed, and returns a command
+// that the client sent before it had the reply, if there is one.
+func (c *clients) handleCommand(cc *clientConn, cmd clientCommand,
+	commands chan clientCommand) (bool, *clientCommand) {
 	if cmd.err != nil {
-		return c.fault(cc, cmd.err), nil
+		return c.replyError(cc, cmd.err), nil
 	}
 	switch name := string(bytes.ToUpper(cmd.args[0])); name {
 	case "PING":
-		if why := c.away(); why != "" { // asked ten times a second: no fault of the client
-			return c.write(cc, resp.ErrorText(why)), nil
+		// Clients may ping ten times a second, so this error reply is neither delayed nor counted.
+		if reason := c.drainReason(); reason != "" {
+			return c.writeReply(cc, resp.ErrorText(reason)), nil
 		}
 		if len(cmd.args) > 1 {
-			return c.write(cc, resp.BulkString(cmd.args[1])), nil
+			return c.writeReply(cc, resp.BulkString(cmd.args[1])), nil
 		}
-		return c.write(cc, resp.Pong), nil
+		return c.writeReply(cc, resp.Pong), nil
 	case "MSG.PUT":
-		return c.handIn(cc, cmd, commands)
+		return c.handlePut(cc, cmd, commands)
 	default:
-		return c.fault(cc, fmt.Errorf("unknown command %.32q", name)), nil
+		return c.replyError(cc, fmt.Errorf("unknown command %.32q", name)), nil
 	}
 }
 
-// handIn hands a message to the loop and writes its answer.
-func (c *clients) handIn(cc *clientConn, cmd command, commands chan command) (bool, *command) {
+// handlePut passes a message to the event loop and writes the reply. Its results are those of handleCommand.
+func (c *clients) handlePut(cc *clientConn, cmd clientCommand, commands chan clientCommand) (bool, *clientCommand) {
 	c.mu.Lock()
 	cfg := c.cfg
 	c.mu.Unlock()
-	q, err := cfg.parsePut(cmd.args, cmd.at)
+	request, err := cfg.parsePut(cmd.args, cmd.readAt)
 	if err != nil {
-		return c.fault(cc, err), nil
+		return c.replyError(cc, err), nil
 	}
-	c.put(q)
-	var ahead *command
+	c.submit(request)
+	var pipelined *clientCommand
 	var reply string
 	select {
-	case reply = <-q.reply:
+	case reply = <-request.reply:
 	case next, open := <-commands:
 		switch {
 		case open:
-			ahead = &next
-		case !c.letGo(cc): // gone before its answer, or it sends no more and still reads: nothing was begun for it
-			c.said(q, false)
-			c.write(cc, resp.Busy(0))
+			pipelined = &next
+		case !c.isClosing(cc):
+			// The client has disconnected, or has ended its side of the connection and may still read. The message
+			// is withdrawn in both cases.
+			c.replyWritten(request, false)
+			c.writeReply(cc, resp.Busy(0))
 			return false, nil
 		}
-		reply = <-q.reply
+		reply = <-request.reply
 	}
 	if resp.IsError(reply) {
-		return c.deny(cc, reply), ahead
+		return c.writeErrorReply(cc, reply), pipelined
 	}
-	ok := c.write(cc, reply)
-	c.said(q, ok)
-	cc.faults = 0
-	return ok, ahead
+	ok := c.writeReply(cc, reply)
+	c.replyWritten(request, ok)
+	cc.consecutiveErrors = 0
+	return ok, pipelined
 }
 
-func (c *clients) write(cc *clientConn, s string) bool {
-	cc.SetWriteDeadline(clock.Deadline(writeWait))
-	_, err := writeAll(cc.Conn, []byte(s))
-	cc.wrote, cc.broken = true, err != nil
+func (c *clients) writeReply(cc *clientConn, reply string) bool {
+	cc.SetWriteDeadline(clock.Deadline(replyWriteTimeout))
+	_, err := writeAll(cc.Conn, []byte(reply))
+	cc.replied, cc.writeFailed = true, err != nil
 	return err == nil
 }
 
-// fault answers what cannot be used; false where the connection is of no more
-// use.
-func (c *clients) fault(cc *clientConn, err error) bool { return c.deny(cc, resp.Error(err)) }
+// replyError writes err as an error reply. It reports false where the connection has to be closed.
+func (c *clients) replyError(cc *clientConn, err error) bool {
+	return c.writeErrorReply(cc, resp.Error(err))
+}
 
-func (c *clients) deny(cc *clientConn, reply string) bool {
-	time.Sleep(faultPause)
-	ok := c.write(cc, reply)
-	cc.faults++
-	return ok && cc.faults < faultsMost
+// writeErrorReply writes an error reply after a delay. It reports false where the write failed or the connection has
+// had too many error replies in a row.
+func (c *clients) writeErrorReply(cc *clientConn, reply string) bool {
+	time.Sleep(errorReplyDelay)
+	ok := c.writeReply(cc, reply)
+	cc.consecutiveErrors++
+	return ok && cc.consecutiveErrors < maxConsecutiveErrors
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -14,330 +14,356 @@
 	"troutusher/internal/resp"
 )
 
-// serveClients runs the client side alone; put stands for the loop.
-func serveClients(t *testing.T, put func(*request)) (*clients, string, chan bool) {
+// serveClients runs the client side without a relay; submit takes the place of the event loop. It returns the address,
+// and a channel that gets the result of each write of a reply.
+func serveClients(t *testing.T, submit func(*putRequest)) (*clients, string, chan bool) {
 	t.Helper()
-	said := make(chan bool, 16)
-	c := newClients(testSet(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	written := make(chan bool, 16)
+	server := newClients(testSet(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	go c.serve(ln)
-	return c, ln.Addr().String(), said
+	t.Cleanup(func() { listener.Close() })
+	go server.serve(listener)
+	return server, listener.Addr().String(), written
 }
 
-func accept(q *request) { q.answer(resp.OK) }
+// replyOK acknowledges a request.
+func replyOK(request *putRequest) { request.sendReply(resp.OK) }
 
-// Guards against what no client should send: nothing is taken, the fault is
-// named, and a connection that is still in step goes on.
+// TestBadInput: an invalid command gets an error reply and no message is taken. The connection is closed where the
+// position in the input is lost, and serves the next command otherwise.
 func TestBadInput(t *testing.T) {
-	long := strings.Repeat("x", bodyMost+1)
-	for name, x := range map[string]struct {
-		text string
-		ends bool
+	oversizedBody := strings.Repeat("x", maxBodyBytes+1)
+	for name, test := range map[string]struct {
+		text   string
+		closes bool // the connection is closed after the error reply
 	}{
-		"inline":           {"PING\r\n", true},
-		"no number":        {"*x\r\n", true},
-		"no arguments":     {"*0\r\n", true},
-		"negative":         {"*-1\r\n", true},
-		"many arguments":   {"*999999999\r\n", true},
-		"huge argument":    {"*1\r\n$999999999\r\n", true},
-		"negative length":  {"*1\r\n$-5\r\n", true},
-		"long number":      {"*" + strings.Repeat("1", 99) + "\r\n", true},
-		"zero ahead":       {"*01\r\n$4\r\nPING\r\n", true},
-		"signed number":    {"*+1\r\n$4\r\nPING\r\n", true},
-		"signed length":    {"*1\r\n$+4\r\nPING\r\n", true},
-		"minus zero":       {"*2\r\n$4\r\nPING\r\n$-0\r\n\r\n", true},
-		"no end":           {"*1\r\n$4\r\nPINGxx", true},
-		"not a bulk":       {"*1\r\n:4\r\n", true},
-		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":        {putText("m", fields("plain", 8000, 1), []byte(long)), false},
-		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
-		"unknown class":    {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
-		"no class":         {putText("m", "t=acme,d=1,dest=1", nil), false},
-		"unknown tenant":   {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
-		"no time":          {putText("m", "c=plain,t=acme,dest=1", nil), false},
-		"bad time":         {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
-		"time in hex":      {putText("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
-		"exponent":         {putText("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
-		"signed time":      {putText("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
-		"two points":       {putText("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
-		"absurd time":      {putText("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
-		"signed dest":      {putText("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
-		"huge dest":        {putText("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
-		"negative time":    {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
-		"no destination":   {putText("m", "c=plain,t=acme,d=1", nil), false},
-		"bad destination":  {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
-		"no key":           {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
-		"key in two lines": {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
-		"id in two lines":  {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
-		"no id":            {putText("", fields("plain", 1, 1), nil), false},
-		"field alone":      {putText("m", "c", nil), false},
+		"inline":              {"PING\r\n", true},
+		"no number":           {"*x\r\n", true},
+		"no arguments":        {"*0\r\n", true},
+		"negative":            {"*-1\r\n", true},
+		"many arguments":      {"*999999999\r\n", true},
+		"huge argument":       {"*1\r\n$999999999\r\n", true},
+		"negative length":     {"*1\r\n$-5\r\n", true},
+		"long number":         {"*" + strings.Repeat("1", 99) + "\r\n", true},
+		"leading zero":        {"*01\r\n$4\r\nPING\r\n", true},
+		"signed number":       {"*+1\r\n$4\r\nPING\r\n", true},
+		"signed length":       {"*1\r\n$+4\r\nPING\r\n", true},
+		"minus zero":          {"*2\r\n$4\r\nPING\r\n$-0\r\n\r\n", true},
+		"no CRLF":             {"*1\r\n$4\r\nPINGxx", true},
+		"not a bulk":          {"*1\r\n:4\r\n", true},
+		"unknown command":     {"*1\r\n$3\r\nGET\r\n", false},
+		"long body":           {putText("m", fields("plain", 8000, 1), []byte(oversizedBody)), false},
+		"few arguments":       {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
+		"unknown class":       {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":            {putText("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":      {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":             {putText("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":            {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"hexadecimal time":    {putText("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
+		"exponent":            {putText("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
+		"signed time":         {putText("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
+		"two points":          {putText("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
+		"excessive time":      {putText("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
+		"signed dest":         {putText("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
+		"huge dest":           {putText("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
+		"negative time":       {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":      {putText("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":     {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":              {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines":    {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":     {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
+		"no id":               {putText("", fields("plain", 1, 1), nil), false},
+		"field without value": {putText("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); accept(q) })
-			cl := dialClient(t, addr)
-			io.WriteString(cl, x.text)
-			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-				t.Fatalf("answer %q", s)
+			_, addr, _ := serveClients(t, func(request *putRequest) {
+				t.Error("an invalid command was taken as a message")
+				replyOK(request)
+			})
+			client := dialClient(t, addr)
+			io.WriteString(client, test.text)
+			if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+				t.Fatalf("got reply %q, want an error reply", reply)
 			}
-			if x.ends {
-				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("still open: %v", err)
+			if test.closes {
+				if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+					t.Errorf("reading after the error reply: got error %v, want EOF", err)
 				}
 				return
 			}
-			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if s := cl.line() + cl.line(); s != "$2hi" {
-				t.Errorf("out of step: %q", s)
+			io.WriteString(client, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
+			if reply := client.line() + client.line(); reply != "$2hi" {
+				t.Errorf("next command: got reply %q, want $2hi", reply)
 			}
 		})
 	}
 }
 
+// TestParsePut: a valid MSG.PUT is parsed into a record, and unknown fields are ignored.
 func TestParsePut(t *testing.T) {
 	now := clock.Instant(1e15)
-	q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	request, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q.rec.Class != "keyed" || q.rec.Tenant != "acme" || q.rec.Dest != 12 || q.rec.Key != "k1" || q.rec.ID != "id1" ||
-		q.rec.Deadline != now.Add(1500500*time.Microsecond-underWay) || string(q.rec.body) != "b" {
-		t.Errorf("got %+v, %+v", q, q.rec)
+	if request.record.Class != "keyed" || request.record.Tenant != "acme" || request.record.Dest != 12 ||
+		request.record.Key != "k1" || request.record.ID != "id1" ||
+		request.record.Deadline != now.Add(1500500*time.Microsecond-transitAllowance) || string(request.record.body) != "b" {
+		t.Errorf("got request %+v with record %+v, want the values of the command", request, request.record)
 	}
 }
 
-// Guards the slack in which an end may still be told: what a request may have
-// been under way is taken off its time, and little of a short one.
-func TestTimeOnTheWayCounts(t *testing.T) {
+// TestTransitTimeIsSubtracted: the allowance for a request's transit time is subtracted from its deadline, so that a
+// notice at the deadline is in time for the client. Of a short time only a small part is subtracted.
+func TestTransitTimeIsSubtracted(t *testing.T) {
 	now := clock.Instant(1e15)
-	for d, want := range map[string]time.Duration{"12000": 11950 * time.Millisecond, "1000": 950 * time.Millisecond,
-		"200": 190 * time.Millisecond, "0": 0} {
-		q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"), []byte("c=plain,t=acme,dest=12,d=" + d), nil}, now)
+	for deadlineMS, want := range map[string]time.Duration{"12000": 11950 * time.Millisecond,
+		"1000": 950 * time.Millisecond,
+		"200":  190 * time.Millisecond, "0": 0} {
+		request, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+			[]byte("c=plain,t=acme,dest=12,d=" + deadlineMS), nil}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := q.rec.Deadline.Sub(now); got != want {
-			t.Errorf("d=%s: ends after %v, want %v", d, got, want)
+		if got := request.record.Deadline.Sub(now); got != want {
+			t.Errorf("d=%s: got a deadline in %v, want %v", deadlineMS, got, want)
 		}
 	}
 }
 
-// Guards a client's give-up: one that leaves before its answer has not heard
-// that its message was taken on, and may hand it in elsewhere.
-func TestClientGoneBeforeAnswer(t *testing.T) {
-	got := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) { got <- q })
-	cl := dialClient(t, addr)
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
-	cl.Close()
-	if <-said {
-		t.Error("held to be heard")
-	}
-	q.answer(resp.OK) // comes too late and blocks nobody
+// TestClientGoneBeforeReply: a client that disconnects before its reply does not know that its message was taken and
+// may hand it in elsewhere, so the reply counts as not written.
+func TestClientGoneBeforeReply(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	_, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
+	client := dialClient(t, addr)
+	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
+	client.Close()
+	if <-written {
+		t.Error("the reply was reported as written, want not written")
+	}
+	request.sendReply(resp.OK) // too late, and must not block
 }
 
-// A client that sends ahead gets its answers in turn.
-func TestSentAhead(t *testing.T) {
-	first := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) {
-		if q.rec.ID == "a" {
-			first <- q
+// TestPipelinedCommands: a client that sends commands before it has the replies gets the replies in order.
+func TestPipelinedCommands(t *testing.T) {
+	first := make(chan *putRequest, 1)
+	_, addr, written := serveClients(t, func(request *putRequest) {
+		if request.record.ID == "a" {
+			first <- request
 			return
 		}
-		q.answer(resp.Busy(7))
+		request.sendReply(resp.Busy(7))
 	})
-	cl := dialClient(t, addr)
-	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
-	(<-first).answer(resp.OK)
-	if s := cl.line() + cl.line() + cl.line(); s != "+OK-BUSY 7+PONG" {
-		t.Errorf("answers %q", s)
+	client := dialClient(t, addr)
+	io.WriteString(client, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+
+		"*1\r\n$4\r\nPING\r\n")
+	(<-first).sendReply(resp.OK)
+	if replies := client.line() + client.line() + client.line(); replies != "+OK-BUSY 7+PONG" {
+		t.Errorf("got replies %q, want +OK, -BUSY 7 and +PONG in this order", replies)
 	}
 	for range 2 {
-		if !<-said {
-			t.Error("not held to be heard")
+		if !<-written {
+			t.Error("a reply was reported as not written, want written")
 		}
 	}
 }
 
-// Guards against losing a request to a close: a connection is closed only
-// between requests, one with a request under way after its answer.
+// TestCloseBetweenRequests: a shutdown closes idle connections at once, and a connection with a request in flight
+// after its reply, so that no request is lost.
 func TestCloseBetweenRequests(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) { got <- q })
-	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
+	submitted := make(chan *putRequest, 1)
+	server, addr, _ := serveClients(t, func(request *putRequest) { submitted <- request })
+	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
 	idle.line()
-	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
-	c.closeIdle()
+	io.WriteString(busy, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
+	server.shutDown()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("idle: %v", err)
+		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
-	q.answer(resp.OK)
-	if s := busyOne.line(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	request.sendReply(resp.OK)
+	if reply := busy.line(); reply != "+OK" {
+		t.Errorf("got reply %q, want +OK", reply)
 	}
-	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+	if _, err := busy.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the reply: got error %v, want EOF", err)
 	}
 }
 
-// Guards a request that crosses the moment in which its connection is let go:
-// its first byte was read, so it is answered, and only then comes the end.
-func TestRequestCrossesTheClose(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, said := serveClients(t, func(q *request) { got <- q })
-	cl := dialClient(t, addr)
-	io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-	cl.line()
-	c.mu.Lock()
-	for cc := range c.conns {
-		cc.released = true // as release leaves it where the byte came first
-	}
-	c.mu.Unlock()
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
+// TestRequestArrivesWhileClosing: a request whose first byte was read just before its connection began to close is
+// answered before the connection is closed.
+func TestRequestArrivesWhileClosing(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	server, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
+	client := dialClient(t, addr)
+	io.WriteString(client, "*1\r\n$4\r\nPING\r\n")
+	client.line()
+	server.mu.Lock()
+	for conn := range server.conns {
+		conn.closing = true // as beginClose leaves it where the first byte was read before its deadline was set
+	}
+	server.mu.Unlock()
+	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
 	select {
-	case <-said:
-		t.Fatal("taken for a client that left")
-	case <-time.After(50 * time.Millisecond): // nothing is to come; too short a wait only misses a fault
+	case <-written:
+		t.Fatal("the client was treated as disconnected")
+	case <-time.After(50 * time.Millisecond): // nothing is expected; a wait that is too short can only miss an error
 	}
-	q.answer(resp.OK)
-	if s := cl.line(); s != "+OK" || !<-said {
-		t.Errorf("answer %q", s)
+	request.sendReply(resp.OK)
+	if reply := client.line(); reply != "+OK" || !<-written {
+		t.Errorf("got reply %q, want +OK, reported as written", reply)
 	}
-	if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+	if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the reply: got error %v, want EOF", err)
 	}
 }
 
-// Guards the limit on descriptors: past it the connection that was idle for
-// longest makes room, and the new one is served.
-func TestConnectionsBounded(t *testing.T) {
-	c, addr, _ := serveClients(t, accept)
-	c.mu.Lock()
-	c.most = 2
-	c.mu.Unlock()
-	var all []*testClient
+// TestConnectionLimit: at the limit of connections the one that has been idle for longest is evicted, and the new one
+// is served.
+func TestConnectionLimit(t *testing.T) {
+	server, addr, _ := serveClients(t, replyOK)
+	server.mu.Lock()
+	server.maxConns = 2
+	server.mu.Unlock()
+	var opened []*testClient
 	for i := range 3 {
-		cl := dialClient(t, addr)
-		if s := cl.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); s != "+OK" {
-			t.Fatal(s)
+		client := dialClient(t, addr)
+		if reply := client.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); reply != "+OK" {
+			t.Fatal(reply)
 		}
-		all = append(all, cl)
-		// Its answer is here before the relay has booked it: only then is it idle, and the oldest.
-		waitFor(t, "the request to be over", func() bool {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			for cc := range c.conns {
-				if cc.busy > 0 || !cc.spoke {
+		opened = append(opened, client)
+		// The client has its reply before the relay records the request as finished. Only after that the connection
+		// counts as idle.
+		waitFor(t, "the request to be recorded as finished", func() bool {
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			for conn := range server.conns {
+				if conn.inFlight > 0 || !conn.sentCommand {
 					return false
 				}
 			}
 			return true
 		})
 	}
-	if _, err := all[0].in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the oldest: %v", err)
+	if _, err := opened[0].in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("oldest connection: got error %v, want EOF", err)
 	}
-	if s := all[1].put("x", fields("plain", 8000, 1), nil); s != "+OK" {
-		t.Error(s)
+	if reply := opened[1].put("x", fields("plain", 8000, 1), nil); reply != "+OK" {
+		t.Error(reply)
 	}
 }
 
-// Guards the places of clients against those that begin a command and never
-// end it, or say nothing at all: they hear of it, or are closed. One that waits
-// for its answer is left alone.
-func TestHalfACommand(t *testing.T) {
-	got := make(chan *request, 1)
-	c := newClients(testSet(t), clock.System(), quietLog(), func(q *request) { got <- q }, func(*request, bool) {})
-	c.first, c.whole, c.quiet = 300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// TestIncompleteCommand: connections on which nothing arrives, or a command is begun and not finished, must not occupy
+// the connection limit for ever. They are closed after a timeout, with an error reply where a command was begun. A
+// connection that waits for its reply stays open.
+func TestIncompleteCommand(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	server := newClients(testSet(t), clock.System(), quietLog(), func(request *putRequest) { submitted <- request },
+		func(*putRequest, bool) {})
+	server.firstCommandTimeout, server.commandTimeout, server.idleTimeout =
+		300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	go c.serve(ln)
-	waits, half, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
-	later, quiet := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
-	io.WriteString(waits, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
-	io.WriteString(half, "*5\r\n$7\r\nMSG")
-	for _, cl := range []*testClient{later, quiet} {
-		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		if s := cl.line(); s != "+PONG" {
-			t.Fatal(s)
+	defer listener.Close()
+	go server.serve(listener)
+	waiting, incomplete, silent := dialClient(t, listener.Addr().String()),
+		dialClient(t, listener.Addr().String()), dialClient(t, listener.Addr().String())
+	incompleteLater, idle := dialClient(t, listener.Addr().String()), dialClient(t, listener.Addr().String())
+	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
+	io.WriteString(incomplete, "*5\r\n$7\r\nMSG")
+	for _, client := range []*testClient{incompleteLater, idle} {
+		io.WriteString(client, "*1\r\n$4\r\nPING\r\n")
+		if reply := client.line(); reply != "+PONG" {
+			t.Fatal(reply)
 		}
 	}
-	io.WriteString(later, "*5\r\n")
-	for name, cl := range map[string]*testClient{"first": half, "later": later} {
-		if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("half a command, %s: %q", name, s)
+	io.WriteString(incompleteLater, "*5\r\n")
+	for name, client := range map[string]*testClient{"first": incomplete, "later": incompleteLater} {
+		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+			t.Errorf("incomplete %s command: got reply %q, want an error reply", name, reply)
 		}
 	}
-	for name, cl := range map[string]*testClient{"half": half, "later": later, "silent": silent, "idle": quiet} {
-		if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s is still open: %v", name, err)
+	for name, client := range map[string]*testClient{"incomplete": incomplete, "later": incompleteLater,
+		"silent": silent, "idle": idle} {
+		if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("%s connection: got error %v, want EOF", name, err)
 		}
 	}
-	q.answer(resp.OK) // later than the patience with the others
-	if s := waits.line(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	request.sendReply(resp.OK) // after the timeouts of the other connections
+	if reply := waiting.line(); reply != "+OK" {
+		t.Errorf("waiting connection: got reply %q, want +OK", reply)
 	}
-	waitFor(t, "places", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.conns) <= 1 })
+	waitFor(t, "the connections to be closed", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return len(server.conns) <= 1
+	})
 }
 
-// Guards the places of those that have sent a command against hundreds that
-// only connect: these make room for each other, and where nobody can, the new
-// one is closed. What was let go counts until it is closed.
-func TestCrowdThatSaysNothing(t *testing.T) {
-	hold := make(chan *request, 8)
-	c, addr, _ := serveClients(t, func(q *request) { hold <- q })
-	c.mu.Lock()
-	c.most, c.first = 8, 300*time.Millisecond
-	c.mu.Unlock()
-	usual := dialClient(t, addr)
-	io.WriteString(usual, "*1\r\n$4\r\nPING\r\n")
-	usual.line()
+// TestManySilentConnections: hundreds of connections that send nothing must not displace one that has sent a command.
+// They evict each other, and a new connection is refused where none can be evicted. An evicted connection counts until
+// it is closed.
+func TestManySilentConnections(t *testing.T) {
+	submitted := make(chan *putRequest, 8)
+	server, addr, _ := serveClients(t, func(request *putRequest) { submitted <- request })
+	server.mu.Lock()
+	server.maxConns, server.firstCommandTimeout = 8, 300*time.Millisecond
+	server.mu.Unlock()
+	active := dialClient(t, addr)
+	io.WriteString(active, "*1\r\n$4\r\nPING\r\n")
+	active.line()
 	for range 200 {
 		dialClient(t, addr)
-		c.mu.Lock()
-		if len(c.conns) > c.most+overMost {
-			t.Errorf("%d connections, %d allowed", len(c.conns), c.most+overMost)
+		server.mu.Lock()
+		if len(server.conns) > server.maxConns+maxConnsOverLimit {
+			t.Errorf("got %d connections, want at most %d", len(server.conns), server.maxConns+maxConnsOverLimit)
 		}
-		c.mu.Unlock()
-	}
-	io.WriteString(usual, "*1\r\n$4\r\nPING\r\n")
-	if s := usual.line(); s != "+PONG" {
-		t.Fatalf("the usual client: %q", s)
+		server.mu.Unlock()
 	}
-	waitFor(t, "the crowd's end", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.conns) <= 1 })
-	for i := range 8 { // the last takes the place of the usual one, where that is still there
-		cl := dialClient(t, addr)
-		io.WriteString(cl, putText("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil))
-		q := <-hold
-		defer q.answer(resp.OK)
+	io.WriteString(active, "*1\r\n$4\r\nPING\r\n")
+	if reply := active.line(); reply != "+PONG" {
+		t.Fatalf("active client: got reply %q, want +PONG", reply)
 	}
-	waitFor(t, "room for none", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.conns) == c.most })
-	over := dialClient(t, addr)
-	if _, err := over.in.ReadByte(); err == nil {
-		t.Error("one too many is served")
+	waitFor(t, "the silent connections to be closed", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return len(server.conns) <= 1
+	})
+	for i := range 8 { // the last one evicts the active client, where that is still connected
+		client := dialClient(t, addr)
+		io.WriteString(client, putText("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil))
+		request := <-submitted
+		defer request.sendReply(resp.OK)
+	}
+	waitFor(t, "the connection limit to be reached", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		return len(server.conns) == server.maxConns
+	})
+	excess := dialClient(t, addr)
+	if _, err := excess.in.ReadByte(); err == nil {
+		t.Error("a connection above the limit was served")
 	}
 }
 
-// Guards the places against a crowd that stops half way: it makes room, the one
-// that has stood still for longest first, and one that goes on writing, however
-// slowly, is read to its end.
-func TestCrowdThatStopsHalfWay(t *testing.T) {
-	c, addr, _ := serveClients(t, accept)
-	c.mu.Lock()
-	c.most, c.first = 8, 20*time.Second // nothing goes by its time
-	c.mu.Unlock()
+// TestManyStalledConnections: connections that stop in the middle of a command are evicted when others need their
+// slots, the one that has been stalled for longest first. A client that writes slowly without stopping is served.
+func TestManyStalledConnections(t *testing.T) {
+	server, addr, _ := serveClients(t, replyOK)
+	server.mu.Lock()
+	server.maxConns, server.firstCommandTimeout = 8, 20*time.Second // no connection is closed by its timeout
+	server.mu.Unlock()
 	text := putText("slow", fields("plain", 8000, 1), []byte("body"))
 	slow := dialClient(t, addr)
 	io.WriteString(slow, text[:1])
@@ -345,65 +371,65 @@
 		if i > 0 {
 			io.WriteString(dialClient(t, addr), text[:20])
 		}
-		waitFor(t, "its first bytes to be read", func() bool {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			n := 0
-			for cc := range c.conns {
-				if cc.reading {
-					n++
+		waitFor(t, "the first bytes of the command to be read", func() bool {
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			readingCount := 0
+			for conn := range server.conns {
+				if conn.readingCommand {
+					readingCount++
 				}
 			}
-			return n == i+1
+			return readingCount == i+1
 		})
 	}
-	at := 1
-	for until := time.Now().Add(stallWait + 100*time.Millisecond); time.Now().Before(until); at++ {
-		io.WriteString(slow, text[at:at+1])
+	offset := 1
+	for end := time.Now().Add(commandStallTimeout + 100*time.Millisecond); time.Now().Before(end); offset++ {
+		io.WriteString(slow, text[offset:offset+1])
 		time.Sleep(20 * time.Millisecond)
 	}
-	for i := range 5 { // the slow one is never the one that stood still for longest
-		io.WriteString(slow, text[at:at+1])
-		at++
-		cl := dialClient(t, addr)
-		if s := cl.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); s != "+OK" {
-			t.Fatalf("beside the crowd: %s", s)
+	for i := range 5 { // the slow client is never the one that has been stalled for longest
+		io.WriteString(slow, text[offset:offset+1])
+		offset++
+		client := dialClient(t, addr)
+		if reply := client.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); reply != "+OK" {
+			t.Fatalf("new client beside stalled ones: got reply %q, want +OK", reply)
 		}
 	}
-	io.WriteString(slow, text[at:])
-	if s := slow.line(); s != "+OK" {
-		t.Errorf("the slow one: %s", s)
+	io.WriteString(slow, text[offset:])
+	if reply := slow.line(); reply != "+OK" {
+		t.Errorf("slow client: got reply %q, want +OK", reply)
 	}
 }
 
-// Guards the core: the same fault again and again ends the connection, and
-// what was let go stays so after the command that was under way.
-func TestFaultsEndAConnection(t *testing.T) {
-	c, addr, _ := serveClients(t, accept)
-	cl := dialClient(t, addr)
-	io.WriteString(cl, strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
-	n := 0
+// TestRepeatedErrorsCloseConnection: a client that repeats an invalid command must not use up the processor, so its
+// connection is closed. The end of the command in flight does not undo the close.
+func TestRepeatedErrorsCloseConnection(t *testing.T) {
+	server, addr, _ := serveClients(t, replyOK)
+	client := dialClient(t, addr)
+	io.WriteString(client, strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
+	replies := 0
 	for {
-		s, err := cl.in.ReadString('\n')
+		reply, err := client.in.ReadString('\n')
 		if err != nil {
 			break
 		}
-		if n++; !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("answer %q", s)
+		if replies++; !strings.HasPrefix(reply, "-ERR ") {
+			t.Errorf("got reply %q, want an error reply", reply)
 		}
 	}
-	if n != faultsMost {
-		t.Errorf("%d faults answered, want %d", n, faultsMost)
-	}
-	a, b := net.Pipe()
-	defer a.Close()
-	defer b.Close()
-	cc := &clientConn{Conn: a, clock: clock.System(), busy: 1}
-	c.mu.Lock()
-	cc.release()
-	c.mu.Unlock()
-	c.read(cc)
-	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the release is undone: %v", err)
+	if replies != maxConsecutiveErrors {
+		t.Errorf("got %d error replies, want %d", replies, maxConsecutiveErrors)
+	}
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	conn := &clientConn{Conn: local, clock: clock.System(), inFlight: 1}
+	server.mu.Lock()
+	conn.beginClose()
+	server.mu.Unlock()
+	server.commandRead(conn)
+	if _, err := local.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("reading from a closing connection: got error %v, want a passed deadline", err)
 	}
 }
--- a/internal/relay/clock_step_relay_test.go
+++ b/internal/relay/clock_step_relay_test.go
@@ -286,7 +286,7 @@
 // startOnDoor does the same and waits until it serves.
 func (r *steppedRelay) startOnDoor() {
 	r.t.Helper()
-	doorUp(r.t, r.launchOnDoor().env["ROUTER_OPS"])
+	waitForOperatorPort(r.t, r.launchOnDoor().env["ROUTER_OPS"])
 }
 
 // callTimes keeps when calls came.
@@ -338,7 +338,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(deliveryWait))
-	io.WriteString(conn, ping)
+	io.WriteString(conn, pingCommand)
 	answer := make([]byte, len("+PONG\r\n"))
 	_, err = io.ReadFull(conn, answer)
 	return conn, err == nil && string(answer) == "+PONG\r\n"
--- a/internal/relay/clock_step_test.go
+++ b/internal/relay/clock_step_test.go
@@ -440,7 +440,7 @@
 	old := r.relay
 	next := r.launchOnDoor()
 	r.clock.step(t, step)
-	doorUp(t, next.env["ROUTER_OPS"])
+	waitForOperatorPort(t, next.env["ROUTER_OPS"])
 	if servesOnDoor(old.env["ROUTER_OPS"]) {
 		old.kill()
 		next.kill()
@@ -666,8 +666,8 @@
 	r.t.Helper()
 	const (
 		settle     = 100 * time.Millisecond // for the relay to read what was written
-		freshFor   = stallWait - 50*time.Millisecond
-		unfinished = wholeWait - 500*time.Millisecond
+		freshFor   = commandStallTimeout - 50*time.Millisecond
+		unfinished = commandTimeout - 500*time.Millisecond
 	)
 	r.clock.step(r.t, 0)
 	cfg, err := LoadConfig(func(key string) string { return r.env[key] })
@@ -692,16 +692,16 @@
 			r.t.Fatalf("%d of %d places to be had", len(open), most)
 		}
 		open = append(open, conn)
-		io.WriteString(conn, ping[:len(ping)/2])
+		io.WriteString(conn, pingCommand[:len(pingCommand)/2])
 	}
 	time.Sleep(settle)
 	writtenAt := time.Now()
 	for _, conn := range open {
-		io.WriteString(conn, ping[len(ping)/2:len(ping)/2+1])
+		io.WriteString(conn, pingCommand[len(pingCommand)/2:len(pingCommand)/2+1])
 	}
 	time.Sleep(settle)
 	if stalled {
-		time.Sleep(stallWait)
+		time.Sleep(commandStallTimeout)
 	}
 	r.clock.step(r.t, step)
 	_, served = pingOnce(r.t, r.env["ROUTER_LISTEN"])
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -51,7 +51,7 @@
 	folder    logFolder      // in place of the operating system's; nil but in tests
 
 	// commandTime is how long a client may take over a command after its first;
-	// wholeWait where it is 0, as it is outside of tests.
+	// commandTimeout where it is 0, as it is outside of tests.
 	commandTime time.Duration
 }
 
@@ -338,7 +338,7 @@
 // Descriptors: what the runtime, the log, the listeners, discovery and the
 // operators' door hold, and the least that a relay can work with.
 const (
-	ownSockets = 28 + opsMost
+	ownSockets = 28 + maxOperatorConns
 	minSockets = 64
 )
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -441,7 +441,7 @@
 	var body []byte
 	resp, err := http.ReadResponse(conn.in, req)
 	if err == nil {
-		if resp.ContentLength > bodyMost {
+		if resp.ContentLength > maxBodyBytes {
 			err = errTooBig
 		} else if several {
 			body, err = io.ReadAll(resp.Body)
--- a/internal/relay/faulty_accept_test.go
+++ b/internal/relay/faulty_accept_test.go
@@ -10,79 +10,83 @@
 	"troutusher/internal/clock"
 )
 
-// An accept loop outlives each failure: it does not spin while that lasts, and
-// serves as soon as it is over.
-func TestAcceptOutlivesFailures(t *testing.T) {
-	const span = 200 * time.Millisecond
+// TestAcceptLoopSurvivesFailures: an accept loop goes on after each kind of failure. It does not spin while the
+// failure lasts, and serves connections as soon as it is over.
+func TestAcceptLoopSurvivesFailures(t *testing.T) {
+	const failureTime = 200 * time.Millisecond
 	serve := map[string]func(net.Listener){
-		"clients": func(ln net.Listener) {
-			newClients(testSet(t), clock.System(), quietLog(), accept, func(*request, bool) {}).serve(ln)
+		"clients": func(listener net.Listener) {
+			newClients(testSet(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {}).serve(listener)
 		},
-		"operators": func(ln net.Listener) {
-			(&ops{calls: opsCalls{"READY": func() (string, bool) { return "ready", true }}, clock: clock.System(), log: quietLog()}).serve(ln)
+		"operators": func(listener net.Listener) {
+			(&operatorPort{calls: operatorCalls{"READY": func() (string, bool) { return "ready", true }},
+				clock: clock.System(), log: quietLog()}).serve(listener)
 		},
 	}
-	asks := map[string][2]string{"clients": {"*1\r\n$4\r\nPING\r\n", "+PONG"}, "operators": {"READY\n", "ACK ready\n"}}
+	exchanges := map[string][2]string{"clients": {"*1\r\n$4\r\nPING\r\n", "+PONG"},
+		"operators": {"READY\n", "ACK ready\n"}}
 	for name := range serve {
 		for _, errno := range acceptErrnos {
 			t.Run(name+", "+errno.Error(), func(t *testing.T) {
 				t.Parallel()
-				ln := &faultyListener{Listener: listenLocal(t), failing: errno}
-				over := make(chan struct{})
-				go func() { defer close(over); serve[name](ln) }()
+				listener := &faultyListener{Listener: listenLocal(t), failing: errno}
+				loopEnded := make(chan struct{})
+				go func() { defer close(loopEnded); serve[name](listener) }()
 				began := time.Now()
-				waitFor(t, "failures", func() bool { return ln.failures() > 2 && time.Since(began) >= span })
-				// A pause after each but the first few.
-				failed, most := ln.failures(), int(time.Since(began)/acceptPause)+acceptSkips+20
-				if failed > most {
-					t.Errorf("%d accepts, want %d at most", failed, most)
+				waitFor(t, "more than two failed accepts", func() bool {
+					return listener.failures() > 2 && time.Since(began) >= failureTime
+				})
+				// Each failure but the first few is followed by a delay.
+				failed, limit := listener.failures(), int(time.Since(began)/acceptRetryDelay)+maxImmediateAcceptRetries+20
+				if failed > limit {
+					t.Errorf("got %d failed accepts, want at most %d", failed, limit)
 				}
-				ln.fail(0)
-				cl := dialClient(t, ln.Addr().String())
-				io.WriteString(cl, asks[name][0])
-				got := make([]byte, len(asks[name][1]))
-				if _, err := io.ReadFull(cl.in, got); err != nil || string(got) != asks[name][1] {
-					t.Errorf("after the failures: %q, %v", got, err)
+				listener.fail(0)
+				client := dialClient(t, listener.Addr().String())
+				io.WriteString(client, exchanges[name][0])
+				got := make([]byte, len(exchanges[name][1]))
+				if _, err := io.ReadFull(client.in, got); err != nil || string(got) != exchanges[name][1] {
+					t.Errorf("after the failures: got reply %q and error %v", got, err)
 				}
 				select {
-				case <-over:
-					t.Error("the loop has ended")
+				case <-loopEnded:
+					t.Error("the accept loop has ended")
 				default:
 				}
-				ln.Close()
-				<-over
+				listener.Close()
+				<-loopEnded
 			})
 		}
 	}
 }
 
-// Connections that broke in the queue cost the ones behind them no time; what
-// this machine has run out of does.
+// TestAcceptBackoff: failures that concern a single queued connection do not delay the connections behind it, while
+// each shortage of a resource on this machine delays the next accept.
 func TestAcceptBackoff(t *testing.T) {
 	for _, errno := range acceptErrnos {
 		backoff := acceptBackoff{log: quietLog(), clock: clock.System(), listener: "test"}
-		pauses := 0
+		delays := 0
 		for range 100 {
-			pause := backoff.failed(opError("accept", "accept4", errno))
-			if pause != 0 && pause != acceptPause {
-				t.Fatalf("%v: a pause of %v", errno, pause)
+			delay := backoff.failed(opError("accept", "accept4", errno))
+			if delay != 0 && delay != acceptRetryDelay {
+				t.Fatalf("%v: got a delay of %v, want none or the retry delay", errno, delay)
 			}
-			if pause > 0 {
-				pauses++
+			if delay > 0 {
+				delays++
 			}
 		}
 		switch errno {
 		case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN:
-			if pauses != 100 {
-				t.Errorf("%v: %d pauses after 100 failures", errno, pauses)
+			if delays != 100 {
+				t.Errorf("%v: got %d delays after 100 failures, want 100", errno, delays)
 			}
 		default:
-			if pauses != 100-acceptSkips {
-				t.Errorf("%v: %d pauses after 100 failures", errno, pauses)
+			if delays != 100-maxImmediateAcceptRetries {
+				t.Errorf("%v: got %d delays after 100 failures, want fewer by the immediate retries", errno, delays)
 			}
 			backoff.accepted()
-			if pause := backoff.failed(opError("accept", "accept4", errno)); pause != 0 {
-				t.Errorf("%v: a pause of %v after a connection that was sound", errno, pause)
+			if delay := backoff.failed(opError("accept", "accept4", errno)); delay != 0 {
+				t.Errorf("%v: got a delay of %v after a successful accept, want none", errno, delay)
 			}
 		}
 	}
--- a/internal/relay/faulty_client_test.go
+++ b/internal/relay/faulty_client_test.go
@@ -10,95 +10,101 @@
 	"troutusher/internal/resp"
 )
 
-// serveFaulty runs the client side on connections that wrap makes faulty.
-func serveFaulty(t *testing.T, put func(*request), wrap func(*net.TCPConn) net.Conn) (*clients, string, chan bool) {
+// serveFaultyConns is like serveClients, on connections that wrap makes faulty.
+func serveFaultyConns(t *testing.T, submit func(*putRequest),
+	wrap func(*net.TCPConn) net.Conn) (*clients, string, chan bool) {
 	t.Helper()
-	said := make(chan bool, 64)
-	c := newClients(testSet(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
-	ln := &connListener{listenLocal(t), wrap}
-	go c.serve(ln)
-	return c, ln.Addr().String(), said
+	written := make(chan bool, 64)
+	server := newClients(testSet(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	listener := &connListener{listenLocal(t), wrap}
+	go server.serve(listener)
+	return server, listener.Addr().String(), written
 }
 
-// Requests that come by single bytes, in pieces by seed, or past errors that are over
-// in a moment are read as they were written, and answered.
+// TestRequestReadInPieces: requests that arrive in single bytes, in pieces of random sizes, or interrupted by
+// transient errors are read as they were written, and answered.
 func TestRequestReadInPieces(t *testing.T) {
-	faults := map[string]func(*faultyConn){"single bytes": func(c *faultyConn) { c.readMost = 1 }}
+	faults := map[string]func(*faultyConn){"single bytes": func(conn *faultyConn) { conn.readMost = 1 }}
 	for seed := range uint64(5) {
-		faults[fmt.Sprintf("seed %d", seed)] = func(c *faultyConn) { c.chunks = newRand(seed) }
+		faults[fmt.Sprintf("seed %d", seed)] = func(conn *faultyConn) { conn.chunks = newRand(seed) }
 	}
 	for _, errno := range transientErrnos {
 		for first := range 4 {
-			faults[fmt.Sprintf("%v from read %d", errno, first)] = func(c *faultyConn) {
-				c.readMost, c.reads = 16, &schedule{first: first, calls: 3, errno: errno}
+			faults[fmt.Sprintf("%v from read %d", errno, first)] = func(conn *faultyConn) {
+				conn.readMost, conn.reads = 16, &schedule{first: first, calls: 3, errno: errno}
 			}
 		}
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := make(chan *request, 2)
-			_, addr, said := serveFaulty(t, func(q *request) { got <- q; accept(q) }, func(c *net.TCPConn) net.Conn {
-				faulty := &faultyConn{TCPConn: c}
+			submitted := make(chan *putRequest, 2)
+			_, addr, written := serveFaultyConns(t, func(request *putRequest) {
+				submitted <- request
+				replyOK(request)
+			}, func(conn *net.TCPConn) net.Conn {
+				faulty := &faultyConn{TCPConn: conn}
 				fault(faulty)
 				return faulty
 			})
-			cl := dialClient(t, addr)
+			client := dialClient(t, addr)
 			for _, id := range []string{"a", "b"} {
-				if s := cl.put(id, fields("plain", 8000, 1), []byte("body of "+id)); s != "+OK" {
-					t.Fatalf("answer %q", s)
+				if reply := client.put(id, fields("plain", 8000, 1), []byte("body of "+id)); reply != "+OK" {
+					t.Fatalf("got reply %q, want +OK", reply)
 				}
-				if q := <-got; q.rec.ID != id || string(q.rec.body) != "body of "+id || !<-said {
-					t.Errorf("got %+v", q.rec)
+				if request := <-submitted; request.record.ID != id || string(request.record.body) != "body of "+id || !<-written {
+					t.Errorf("got record %+v, want the message as it was sent, and its reply written", request.record)
 				}
 			}
 		})
 	}
 }
 
-// An answer whose write falls short or fails for a moment is written to its end, and
-// the message stays taken on; where the connection is broken nobody was told, and the
-// message is withdrawn.
+// TestReplyWriteFails: a reply whose write is short or fails with a transient error is written to its end, and the
+// message stays taken. On a broken connection the reply is reported as not written, which withdraws the message.
 func TestReplyWriteFails(t *testing.T) {
-	for at := range len(resp.OK) {
+	for failAfter := range len(resp.OK) {
 		for _, errno := range transientErrnos {
-			_, addr, said := serveFaulty(t, accept, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: at, writeErrno: errno, writeFails: 2}
+			_, addr, written := serveFaultyConns(t, replyOK, func(c *net.TCPConn) net.Conn {
+				return &faultyConn{TCPConn: c, writeFail: failAfter, writeErrno: errno, writeFails: 2}
 			})
-			cl := dialClient(t, addr)
-			if s := cl.put("m", fields("plain", 8000, 1), nil); s != "+OK" || !<-said {
-				t.Errorf("%v after %d bytes: answer %q", errno, at, s)
+			client := dialClient(t, addr)
+			if reply := client.put("m", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
+				t.Errorf("%v after %d bytes: got reply %q, want +OK, reported as written", errno, failAfter, reply)
 			}
-			if s := cl.put("n", fields("plain", 8000, 1), nil); s != "+OK" || !<-said {
-				t.Errorf("%v after %d bytes, then: answer %q", errno, at, s)
+			if reply := client.put("n", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
+				t.Errorf("next message after %v after %d bytes: got reply %q, want +OK, reported as written",
+					errno, failAfter, reply)
 			}
 		}
 		for _, errno := range brokenErrnos {
-			c, addr, said := serveFaulty(t, accept, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: at, writeErrno: errno, writeFails: 1 << 30}
+			c, addr, written := serveFaultyConns(t, replyOK, func(c *net.TCPConn) net.Conn {
+				return &faultyConn{TCPConn: c, writeFail: failAfter, writeErrno: errno, writeFails: 1 << 30}
 			})
-			cl := dialClient(t, addr)
-			io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-			if <-said {
-				t.Errorf("%v after %d bytes: held to be heard", errno, at)
+			client := dialClient(t, addr)
+			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+			if <-written {
+				t.Errorf("%v after %d bytes: the reply was reported as written, want not written", errno, failAfter)
 			}
-			waitFor(t, "the connection's end", func() bool { return c.count() == 0 })
+			waitFor(t, "the connection to be closed", func() bool { return c.count() == 0 })
 		}
 	}
 }
 
-// A client whose connection breaks while its message waits for its answer has left.
-func TestReadBreaksBeforeTheAnswer(t *testing.T) {
+// TestReadFailsBeforeReply: a client whose connection breaks while it waits for the reply counts as disconnected.
+func TestReadFailsBeforeReply(t *testing.T) {
 	for _, errno := range brokenErrnos {
-		got := make(chan *request, 1)
-		_, addr, said := serveFaulty(t, func(q *request) { got <- q }, func(c *net.TCPConn) net.Conn {
-			return &faultyConn{TCPConn: c, reads: &schedule{first: 1, calls: 1 << 30, errno: errno}}
+		submitted := make(chan *putRequest, 1)
+		_, addr, written := serveFaultyConns(t, func(request *putRequest) {
+			submitted <- request
+		}, func(conn *net.TCPConn) net.Conn {
+			return &faultyConn{TCPConn: conn, reads: &schedule{first: 1, calls: 1 << 30, errno: errno}}
 		})
-		cl := dialClient(t, addr)
-		io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-		if <-said {
-			t.Errorf("%v: held to be heard", errno)
+		client := dialClient(t, addr)
+		io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+		if <-written {
+			t.Errorf("%v: the reply was reported as written, want not written", errno)
 		}
-		(<-got).answer(resp.OK)
+		(<-submitted).sendReply(resp.OK)
 	}
 }
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -23,9 +23,9 @@
 		r.wal = &wal{in: newMailbox[walOp]()}
 		r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
 		for _, what := range []decide.Outcome{decide.Delivered, decide.Errored} {
-			q := &request{rec: &record{ID: map[decide.Outcome]string{decide.Delivered: "good", decide.Errored: "bad"}[what],
+			q := &putRequest{record: &record{ID: map[decide.Outcome]string{decide.Delivered: "good", decide.Errored: "bad"}[what],
 				Class: "plain", Dest: 7, Rules: &decide.Class{}}}
-			m := r.newMessage(q.rec)
+			m := r.newMessage(q.record)
 			r.waiting[q] = m
 			r.replyWritten(q, true)
 			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -263,7 +263,7 @@
 				t.Errorf("message %s is delivered by status %d and %.200q", id, status, body)
 			}
 		}
-		if errors.Is(o.err, errTooBig) && len(answer) < bodyMost {
+		if errors.Is(o.err, errTooBig) && len(answer) < maxBodyBytes {
 			t.Errorf("%d bytes are too many", len(answer))
 		}
 	})
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -17,7 +17,7 @@
 
 // fuzzPeer is another process of the relay of which nothing is heard but what a test says.
 func fuzzPeer() *peer {
-	return &peer{out: newMailbox[handoverMessage](), quit: make(chan struct{}), last: make(chan struct{}), puts: map[string]*request{}}
+	return &peer{out: newMailbox[handoverMessage](), quit: make(chan struct{}), last: make(chan struct{}), puts: map[string]*putRequest{}}
 }
 
 // heirRelay is a relay that has taken over from an old process: it knows two
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -11,9 +11,8 @@
 	"troutusher/internal/resp"
 )
 
-// FuzzParsePut: what is taken as a message names a class and a tenant of the
-// configuration, has a time within its class's and texts that can stand in a header,
-// and comes back from the log as it was.
+// FuzzParsePut checks each message that is parsed without an error: its class and tenant are configured, its time left
+// is within the limit of its class, its id and key can be header values, and a log record restores it unchanged.
 func FuzzParsePut(f *testing.F) {
 	cfg := testSet(f)
 	f.Add("message-1", fields("keyed", 20000, 7), []byte("body\n\x00"))
@@ -28,43 +27,44 @@
 	f.Add("m", "c=keyed,t=acme,d=.5,dest=1,k=\r\n", []byte("b"))
 	f.Fuzz(func(t *testing.T, id, putFields string, body []byte) {
 		if len(id) > resp.MaxArgument || len(putFields) > resp.MaxArgument || len(body) > resp.MaxBody {
-			return // no command brings them
+			return // ReadCommand returns no such argument
 		}
 		now := clock.System().Now()
 		args := [][]byte{[]byte("MSG.PUT"), []byte("0"), []byte(id), []byte(putFields), body}
 		request, err := cfg.parsePut(args, now)
 		if err != nil {
 			if request != nil {
-				t.Errorf("a request beside the error %v", err)
+				t.Errorf("got a request together with error %v, want no request", err)
 			}
 			if reply := resp.Error(err); strings.Count(reply, "\n") != 1 || !strings.HasSuffix(reply, "\r\n") {
-				t.Errorf("the error is no single line: %q", reply)
+				t.Errorf("got error reply %q, want a single line", reply)
 			}
 			return
 		}
-		rec := request.rec
-		class, known := cfg.classes[rec.Class]
-		if _, ok := cfg.tenants[rec.Tenant]; !ok || !known {
-			t.Fatalf("class %q, tenant %q", rec.Class, rec.Tenant)
+		record := request.record
+		classIndex, known := cfg.classes[record.Class]
+		if _, ok := cfg.tenants[record.Tenant]; !ok || !known {
+			t.Fatalf("got class %q and tenant %q, want configured ones", record.Class, record.Tenant)
 		}
-		longest := time.Duration(deadlineMost*cfg.Policy.Classes[class].Deadline) * time.Microsecond
-		if request.left < 0 || request.left > longest {
-			t.Errorf("%v left, want 0 to %v", request.left, longest)
+		longest := time.Duration(maxDeadlineFactor*cfg.Policy.Classes[classIndex].Deadline) * time.Microsecond
+		if request.timeLeft < 0 || request.timeLeft > longest {
+			t.Errorf("got %v left, want 0 to %v", request.timeLeft, longest)
 		}
-		if rec.ID != id || !token(rec.ID) || rec.Key != "" && !token(rec.Key) || !bytes.Equal(rec.body, body) {
-			t.Errorf("taken as %+v", rec)
+		if record.ID != id || !isHeaderToken(record.ID) ||
+			record.Key != "" && !isHeaderToken(record.Key) || !bytes.Equal(record.body, body) {
+			t.Errorf("got record %+v, want the id, key and body of the command", record)
 		}
-		if rec.Dest < 0 || rec.Dest > 1<<32-1 {
-			t.Errorf("destination %d", rec.Dest)
+		if record.Dest < 0 || record.Dest > 1<<32-1 {
+			t.Errorf("got destination %d, want a 32-bit number", record.Dest)
 		}
-		if cfg.keyed(class) && rec.Key == "" {
-			t.Error("a keyed class without a key")
+		if cfg.keyed(classIndex) && record.Key == "" {
+			t.Error("got no key in a keyed class, want an error")
 		}
-		checkRecordRoundTrip(t, rec)
+		checkRecordRoundTrip(t, record)
 	})
 }
 
-// FuzzPutCommand parses whatever is read as a command, of any number of arguments.
+// FuzzPutCommand checks that parsePut accepts no command, with any number of arguments, where no class is configured.
 func FuzzPutCommand(f *testing.F) {
 	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
@@ -77,7 +77,7 @@
 		}
 		request, err := cfg.parsePut(args, clock.System().Now())
 		if err == nil || request != nil {
-			t.Errorf("request %v, error %v: no class is configured", request, err)
+			t.Errorf("got request %v and error %v, want an error only: no class is configured", request, err)
 		}
 	})
 }
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -21,7 +21,7 @@
 	}
 	manual := clock.NewManual(clock.Read(clock.System()))
 	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, in: newMailbox[event](), clock: manual, epoch: policyEpoch,
-		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
+		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*putRequest]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: membership.NewDirectory(0),
 		pool: newPool(manual, time.Second, time.Second, 8)}
 	policy.Use(r)
@@ -98,7 +98,7 @@
 func TestUnknownDestinations(t *testing.T) {
 	r := testRelay(t)
 	put := func(id string, dest int) string {
-		q := &request{rec: &record{ID: id, Class: "plain", Dest: dest, Deadline: r.clock.Now().Add(time.Minute)}, reply: make(chan string, 1)}
+		q := &putRequest{record: &record{ID: id, Class: "plain", Dest: dest, Deadline: r.clock.Now().Add(time.Minute)}, reply: make(chan string, 1)}
 		r.admit(q)
 		select {
 		case s := <-q.reply:
--- a/internal/relay/half_closed_test.go
+++ b/internal/relay/half_closed_test.go
@@ -8,21 +8,21 @@
 	"troutusher/internal/resp"
 )
 
-// A client that ends its sending behind a message and still reads gets its answer: a
-// refusal, since it cannot be told from one that left, and for that nothing is begun.
-func TestClientEndsItsSending(t *testing.T) {
-	got := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) { got <- q })
-	cl := dialClient(t, addr)
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
-	cl.Conn.(*net.TCPConn).CloseWrite()
-	if <-said {
-		t.Error("held to be heard")
+// TestClientClosesItsSendingSide: a client that closes its sending side after a message and still reads is refused
+// with a busy reply. The relay cannot distinguish it from a client that has disconnected, so the message is withdrawn.
+func TestClientClosesItsSendingSide(t *testing.T) {
+	submitted := make(chan *putRequest, 1)
+	_, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
+	client := dialClient(t, addr)
+	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
+	client.Conn.(*net.TCPConn).CloseWrite()
+	if <-written {
+		t.Error("the reply was reported as written, want not written")
 	}
-	q.answer(resp.OK) // comes too late
-	if s := cl.line(); s != "-BUSY" {
-		t.Errorf("answer %q", s)
+	request.sendReply(resp.OK) // too late
+	if reply := client.line(); reply != "-BUSY" {
+		t.Errorf("got reply %q, want -BUSY", reply)
 	}
-	cl.orderlyEnd()
+	client.expectCleanEOF()
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -108,17 +108,17 @@
 type peer struct {
 	conn     net.Conn
 	out      *mailbox[handoverMessage]
-	quit     chan struct{}       // it is gone
-	last     chan struct{}       // nothing more is to be said
-	gone     bool                // of the loop
-	puts     map[string]*request // of the loop: handed in there, not heard of yet
-	logClock logClock            // of the instants in records that it hands over
+	quit     chan struct{}          // it is gone
+	last     chan struct{}          // nothing more is to be said
+	gone     bool                   // of the loop
+	puts     map[string]*putRequest // of the loop: handed in there, not heard of yet
+	logClock logClock               // of the instants in records that it hands over
 }
 
 // newPeer hands what the other process says to heard, and nil once it is gone.
 func newPeer(conn net.Conn, heard func(*peer, *handoverMessage)) *peer {
 	p := &peer{conn: conn, out: newMailbox[handoverMessage](), quit: make(chan struct{}), last: make(chan struct{}),
-		puts: map[string]*request{}}
+		puts: map[string]*putRequest{}}
 	go p.write()
 	go func() {
 		defer close(p.quit)
@@ -400,9 +400,9 @@
 		if c := r.predecessor.logClock.convert(now); !c.Certain {
 			rec.convert(c, now.Now)
 		}
-		q := &request{rec: rec}
+		q := &putRequest{record: rec}
 		p := r.predecessor
-		q.to = func(reply string) {
+		q.forward = func(reply string) {
 			r.in.put(event{forwarded: q, reply: reply})
 			p.send(handoverMessage{Answer: &handAnswer{rec.ID, reply}})
 		}
@@ -431,7 +431,7 @@
 	}
 	for _, q := range p.puts {
 		// Where an answer went out its client may have it: the message is ours.
-		r.replyWritten(q, q.answered)
+		r.replyWritten(q, q.replied)
 	}
 	r.log.Info("upgrade: the old process is gone", "calls_unreported", left)
 }
@@ -443,7 +443,7 @@
 func (r *Relay) share(on bool) {
 	r.sharing = on
 	clients, endpoints := r.budget()
-	r.clients.retune(r.cfg, clients)
+	r.clients.reconfigure(r.cfg, clients)
 	r.pool.tune(&r.cfg.Policy, endpoints)
 	limit := memoryLimit(r.cfg)
 	if on {
@@ -581,7 +581,7 @@
 	for _, m := range r.msgs {
 		byID[m.rec.ID] = m
 	}
-	asked := map[string]*request{}
+	asked := map[string]*putRequest{}
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	var got []event
@@ -595,25 +595,25 @@
 		for _, h := range got {
 			switch {
 			case h.submitted != nil && lost:
-				h.submitted.answer(resp.Busy(stopRetry))
-			case h.submitted != nil && asked[h.submitted.rec.ID] != nil:
-				h.submitted.answer(resp.Error(errors.New("id is being handed in already")))
+				h.submitted.sendReply(resp.Busy(stopRetry))
+			case h.submitted != nil && asked[h.submitted.record.ID] != nil:
+				h.submitted.sendReply(resp.Error(errors.New("id is being handed in already")))
 			case h.submitted != nil:
-				asked[h.submitted.rec.ID] = h.submitted
-				r.successor.send(handoverMessage{Put: &handPut{h.submitted.rec, h.submitted.rec.body}})
+				asked[h.submitted.record.ID] = h.submitted
+				r.successor.send(handoverMessage{Put: &handPut{h.submitted.record, h.submitted.record.body}})
 			case h.replied != nil:
-				r.successor.send(handoverMessage{Said: &handSaid{h.replied.rec.ID, h.ok}})
+				r.successor.send(handoverMessage{Said: &handSaid{h.replied.record.ID, h.ok}})
 			case h.peer == r.successor && h.line == nil:
 				r.log.Error("upgrade: the new process is gone after it took over")
 				lost = true
 				for id, q := range asked {
-					q.answer(resp.Busy(stopRetry))
+					q.sendReply(resp.Busy(stopRetry))
 					delete(asked, id)
 				}
 			case h.peer == r.successor && h.line.Answer != nil:
 				if q := asked[h.line.Answer.ID]; q != nil {
 					delete(asked, h.line.Answer.ID)
-					q.answer(h.line.Answer.Reply)
+					q.sendReply(h.line.Answer.Reply)
 				}
 			case h.peer == r.successor && h.line.Cancel != "":
 				if m := byID[h.line.Cancel]; m != nil && m.call != nil {
@@ -635,7 +635,7 @@
 		}
 		if reading && !r.stopAt.IsZero() && clock.Since(r.clock, r.stopAt) >= stopReads {
 			reading = false
-			r.clients.cutOff()
+			r.clients.stopReadingAll()
 		}
 		over := !r.stopAt.IsZero() && clock.Since(r.clock, r.stopAt) >= stopCalls
 		if conns := r.clients.count(); over || (r.calls == 0 || lost) && len(asked) == 0 && conns == 0 {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -46,7 +46,7 @@
 	env := maps.Clone(s.env)
 	env["ROUTER_OPS"] = freeAddr(t)
 	c := launchChild(t, env, s.socket)
-	doorUp(t, env["ROUTER_OPS"])
+	waitForOperatorPort(t, env["ROUTER_OPS"])
 	return c
 }
 
@@ -125,7 +125,7 @@
 	old := s.start(t)
 	for i, x := range rounds {
 		cl, half := dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
-		io.WriteString(half, ping)
+		io.WriteString(half, pingCommand)
 		if got := half.line(); got != "+PONG" {
 			t.Fatal(got)
 		}
--- a/internal/relay/hangup.go
+++ b/internal/relay/hangup.go
@@ -11,106 +11,104 @@
 	"troutusher/internal/resp"
 )
 
-// The end of a client's connection. Closing it with bytes unread, or before the
-// client's own end has come, resets it, and answers that are still on their way
-// go with it.
+// Closing a TCP connection while received bytes are unread, or before the peer has closed its side, may reset it, and
+// replies that the client has not received are lost. The relay therefore closes its sending side first and discards
+// what arrives until the client has closed its side, or for a short time.
 
 const (
-	lingerWait  = 200 * time.Millisecond // from our end of a connection to its close
-	lingerEvict = 20 * time.Millisecond  // the same where its place is needed
-	lingerMost  = 256 << 10              // bytes that are read past meanwhile
+	lingerTimeout        = 200 * time.Millisecond // from closing the sending side to closing the connection
+	evictedLingerTimeout = 20 * time.Millisecond  // the same for an evicted connection
+	maxLingerBytes       = 256 << 10              // bytes that are discarded in that time
 )
 
-// evict releases a connection whose place is needed.
+// evict closes a connection to free its slot for another client. The caller holds clients.mu.
 func (cc *clientConn) evict() {
 	cc.evicted = true
-	cc.release()
+	cc.beginClose()
 }
 
-// cutOff ends the reading of all connections, right before the process ends: what
-// has been read whole gets its answer, half a command an error.
-func (c *clients) cutOff() {
+// stopReadingAll ends the reading of all connections, right before the process ends. Commands that were read to their
+// end are answered as usual, and a partial command gets an error reply.
+func (c *clients) stopReadingAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for cc := range c.conns {
-		cc.ending = true
-		cc.release()
+		cc.readStopped = true
+		cc.beginClose()
 	}
 }
 
-// stopReading ends the reading of a connection but for what has been taken from
-// its socket already.
+// stopReading ends the reading of a connection, except for what is in the read buffer.
 func (c *clients) stopReading(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cc.ending = true
+	cc.readStopped = true
 	cc.SetReadDeadline(clock.Past)
 }
 
-// answerRest ends the reader of a connection that is of no more use, and answers
-// what it had read by then: as far as its last message, since answers go by their
-// order. Messages are refused, so that nothing is begun for them.
-func (c *clients) answerRest(cc *clientConn, ahead *command, commands <-chan command) {
+// replyToRemaining stops the reading goroutine of a connection that is being closed, and answers the commands that it
+// had read by then. Messages are refused with a busy reply. Replies are matched by their order, so commands before
+// the last message get an error reply, and those after it get none.
+func (c *clients) replyToRemaining(cc *clientConn, pipelined *clientCommand, commands <-chan clientCommand) {
 	c.stopReading(cc)
-	var rest []command
-	if ahead != nil {
-		rest = append(rest, *ahead)
+	var remaining []clientCommand
+	if pipelined != nil {
+		remaining = append(remaining, *pipelined)
 	}
 	for cmd := range commands {
-		rest = append(rest, cmd)
+		remaining = append(remaining, cmd)
 	}
-	last := len(rest) - 1
-	for last >= 0 && !isPut(rest[last]) {
+	last := len(remaining) - 1
+	for last >= 0 && !isPut(remaining[last]) {
 		last--
 	}
-	for _, cmd := range rest[:last+1] {
+	for _, cmd := range remaining[:last+1] {
 		reply := resp.Busy(0)
 		if !isPut(cmd) {
-			reply = resp.Error(errFaults)
+			reply = resp.Error(errTooManyErrors)
 		}
-		if cc.broken || !c.write(cc, reply) {
+		if cc.writeFailed || !c.writeReply(cc, reply) {
 			return
 		}
 	}
 }
 
-var errFaults = errors.New("too many faults on this connection")
+var errTooManyErrors = errors.New("too many faults on this connection")
 
-func isPut(cmd command) bool {
+func isPut(cmd clientCommand) bool {
 	return cmd.err == nil && bytes.EqualFold(cmd.args[0], []byte("MSG.PUT"))
 }
 
-// hangUp closes a connection. Where anything was answered it ends only its own
-// side first, and reads past what still comes until the client has ended the
-// other, for a short time. Who never had an answer has none to lose: a crowd of
-// those is to go at once.
-func (c *clients) hangUp(cc *clientConn) {
-	if cc.wrote && !cc.broken {
-		linger(cc.Conn, c.clock, c.lingerFor(cc))
+// closeConn closes a connection, after lingering where a reply was written. A connection without a reply is closed at
+// once, since it has no reply to lose and there may be many of them.
+func (c *clients) closeConn(cc *clientConn) {
+	if cc.replied && !cc.writeFailed {
+		linger(cc.Conn, c.clock, c.lingerTimeoutFor(cc))
 	}
 	cc.Close()
 }
 
-func (c *clients) lingerFor(cc *clientConn) time.Duration {
+// lingerTimeoutFor returns how long the close of a connection waits for the client to close its side.
+func (c *clients) lingerTimeoutFor(cc *clientConn) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if cc.evicted {
-		return lingerEvict
+		return evictedLingerTimeout
 	}
-	return lingerWait
+	return lingerTimeout
 }
 
-// linger ends our side of a connection and reads past what comes, until the other
-// side's end or for wait.
-func linger(conn net.Conn, clk clock.Clock, wait time.Duration) {
-	half, ok := conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+// linger closes the sending side of a connection and discards what arrives, until the peer closes its side or timeout
+// has passed.
+func linger(conn net.Conn, clk clock.Clock, timeout time.Duration) {
+	halfCloser, ok := conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
-	until := clk.Now().Add(wait)
-	conn.SetReadDeadline(clock.Deadline(wait))
-	n, _ := io.CopyN(io.Discard, conn, lingerMost)
-	if n == lingerMost { // it may read what it was told before the reset
+	until := clk.Now().Add(timeout)
+	conn.SetReadDeadline(clock.Deadline(timeout))
+	discarded, _ := io.CopyN(io.Discard, conn, maxLingerBytes)
+	if discarded == maxLingerBytes { // gives the peer time to read its replies before the connection is reset
 		time.Sleep(clock.Until(clk, until))
 	}
 }
--- a/internal/relay/hangup_test.go
+++ b/internal/relay/hangup_test.go
@@ -12,254 +12,259 @@
 	"troutusher/internal/clock"
 )
 
-// orderlyEnd fails the test where a connection does not end with nothing but its end.
-func (c *testClient) orderlyEnd() {
+// expectCleanEOF fails the test where the connection is reset or brings further bytes before its end.
+func (c *testClient) expectCleanEOF() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
-		c.t.Errorf("at the end of the connection: %q, %v", rest, err)
+		c.t.Errorf("end of the connection: got bytes %q and error %v, want neither", rest, err)
 	}
 }
 
-// Each command of a burst that stands before an error gets its answer, in order, and
-// the error its line, however much comes behind it; the end is orderly.
-func TestBurstCutByAnError(t *testing.T) {
+// TestPipelineWithProtocolError: each of the pipelined commands before a malformed one is answered, in order, and the
+// malformed one gets an error reply, however much follows it. The connection is closed without a reset.
+func TestPipelineWithProtocolError(t *testing.T) {
 	const commands = 30
-	for name, behind := range map[string]string{"nothing": "", "a request": putText("behind", fields("plain", 8000, 1), nil),
-		"much": strings.Repeat("x", 200<<10)} {
-		for bad, text := range map[string]string{"no command": "nonsense\r\n", "no length": "*1\r\n$x\r\n"} {
-			t.Run(name+" behind "+bad, func(t *testing.T) {
+	for name, trailing := range map[string]string{"nothing": "",
+		"a request":  putText("trailing", fields("plain", 8000, 1), nil),
+		"many bytes": strings.Repeat("x", 200<<10)} {
+		for malformed, text := range map[string]string{"no prefix": "nonsense\r\n", "no length": "*1\r\n$x\r\n"} {
+			t.Run(name+" after "+malformed, func(t *testing.T) {
 				t.Parallel()
-				_, addr, said := serveClients(t, func(q *request) {
-					if q.rec.ID == "behind" {
-						t.Error("taken from behind an error")
+				_, addr, written := serveClients(t, func(request *putRequest) {
+					if request.record.ID == "trailing" {
+						t.Error("a message after the malformed command was taken")
 					}
-					accept(q)
+					replyOK(request)
 				})
-				cl := dialClient(t, addr)
-				var burst strings.Builder
+				client := dialClient(t, addr)
+				var pipeline strings.Builder
 				for i := range commands {
-					burst.WriteString(putText(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil))
+					pipeline.WriteString(putText(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil))
 				}
-				burst.WriteString(text)
-				burst.WriteString(behind)
-				io.WriteString(cl, burst.String())
+				pipeline.WriteString(text)
+				pipeline.WriteString(trailing)
+				io.WriteString(client, pipeline.String())
 				for i := range commands {
-					if s := cl.line(); s != "+OK" || !<-said {
-						t.Fatalf("answer %d: %q", i, s)
+					if reply := client.line(); reply != "+OK" || !<-written {
+						t.Fatalf("reply %d: got %q, want +OK, reported as written", i, reply)
 					}
 				}
-				if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-					t.Errorf("after the burst: %q", s)
+				if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+					t.Errorf("malformed command: got reply %q, want an error reply", reply)
 				}
-				cl.orderlyEnd()
+				client.expectCleanEOF()
 			})
 		}
 	}
 }
 
-// crossedConn lets something happen on the client's side in the moment in which the
-// relay shuts or closes its connection, whichever it does first, and goes on when
-// that has arrived.
-type crossedConn struct {
+// closeHookConn calls beforeClose right before the relay closes the sending side of a connection or the connection,
+// whichever comes first, and waits until what the client sends in beforeClose has arrived.
+type closeHookConn struct {
 	*net.TCPConn
-	once   sync.Once
-	cross  func()
-	missed chan struct{} // closed where what was sent has not arrived
+	once        sync.Once
+	beforeClose func()
+	notReceived chan struct{} // closed where nothing has arrived in time
 }
 
-func (c *crossedConn) crossing() {
+// runHook calls beforeClose once and waits until the connection has something to read.
+func (c *closeHookConn) runHook() {
 	c.once.Do(func() {
-		c.cross()
+		c.beforeClose()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if n, err := unread(c.TCPConn); n != -1 || err != nil {
 				return
 			}
 		}
-		close(c.missed)
+		close(c.notReceived)
 	})
 }
 
-func (c *crossedConn) CloseWrite() error { c.crossing(); return c.TCPConn.CloseWrite() }
-func (c *crossedConn) Close() error      { c.crossing(); return c.TCPConn.Close() }
+func (c *closeHookConn) CloseWrite() error { c.runHook(); return c.TCPConn.CloseWrite() }
+func (c *closeHookConn) Close() error      { c.runHook(); return c.TCPConn.Close() }
 
-// A request that arrives as a resting connection is shut does not reset it: the answer
-// before it arrives, then the end, and the request is not taken on, since its client
-// sends it again. Whatever ends the connection.
-func TestRequestArrivesAsItsConnectionIsShut(t *testing.T) {
-	for name, end := range map[string]func(*clients){
+// TestRequestArrivesDuringClose: a request that arrives while an idle connection is being closed must not reset it,
+// for whatever reason it is closed. The client receives its earlier reply and the end of the connection. The request
+// is not taken, since the client sends it again.
+func TestRequestArrivesDuringClose(t *testing.T) {
+	for name, closeConns := range map[string]func(*clients){
 		"idle for too long":  func(*clients) {},
 		"drain":              (*clients).drain,
-		"SIGTERM":            (*clients).closeIdle,
+		"SIGTERM":            (*clients).shutDown,
 		"hand-over":          (*clients).handOver,
-		"end of the process": (*clients).cutOff,
-		"fewer descriptors":  func(c *clients) { c.retune(c.cfg, 0) },
-		"place needed": func(c *clients) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			for cc := range c.conns {
-				cc.evict()
+		"end of the process": (*clients).stopReadingAll,
+		"fewer descriptors":  func(server *clients) { server.reconfigure(server.cfg, 0) },
+		"eviction": func(server *clients) {
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			for conn := range server.conns {
+				conn.evict()
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var cl *testClient
-			dialled, missed := make(chan struct{}), make(chan struct{})
-			said := make(chan bool, 4)
-			c := newClients(testSet(t), clock.System(), quietLog(), func(q *request) {
-				if q.rec.ID == "crossed" {
-					t.Error("taken on after the shutdown")
+			var client *testClient
+			dialled, notReceived := make(chan struct{}), make(chan struct{})
+			written := make(chan bool, 4)
+			server := newClients(testSet(t), clock.System(), quietLog(), func(request *putRequest) {
+				if request.record.ID == "during-close" {
+					t.Error("a message was taken after the connection was closed")
 				}
-				accept(q)
-			}, func(_ *request, ok bool) { said <- ok })
+				replyOK(request)
+			}, func(_ *putRequest, ok bool) { written <- ok })
 			if name == "idle for too long" {
-				c.quiet = 50 * time.Millisecond
+				server.idleTimeout = 50 * time.Millisecond
 			}
-			ln := &connListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
-				return &crossedConn{TCPConn: tcp, missed: missed, cross: func() {
+			listener := &connListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
+				return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
 					<-dialled
-					io.WriteString(cl, putText("crossed", fields("plain", 8000, 1), nil))
+					io.WriteString(client, putText("during-close", fields("plain", 8000, 1), nil))
 				}}
 			}}
-			go c.serve(ln)
-			cl = dialClient(t, ln.Addr().String())
+			go server.serve(listener)
+			client = dialClient(t, listener.Addr().String())
 			close(dialled)
-			io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
-			if !<-said {
-				t.Error("the first was not heard")
+			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+			if !<-written {
+				t.Error("the first reply was reported as not written, want written")
 			}
-			waitFor(t, "its end", func() bool {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				for cc := range c.conns {
-					if cc.busy > 0 {
+			waitFor(t, "the request to be recorded as finished", func() bool {
+				server.mu.Lock()
+				defer server.mu.Unlock()
+				for conn := range server.conns {
+					if conn.inFlight > 0 {
 						return false
 					}
 				}
 				return true
 			})
-			end(c)
-			if s := cl.line(); s != "+OK" {
-				t.Errorf("answer %q", s)
+			closeConns(server)
+			if reply := client.line(); reply != "+OK" {
+				t.Errorf("got reply %q, want +OK", reply)
 			}
-			cl.orderlyEnd()
+			client.expectCleanEOF()
 			select {
-			case <-missed:
-				t.Error("nothing crossed the end")
+			case <-notReceived:
+				t.Error("the request did not arrive before the close")
 			default:
 			}
 		})
 	}
 }
 
-// The same for a command that stood still half way and has to make room: its rest may
-// arrive with its error line, which it gets.
-func TestRestArrivesAsHalfACommandMakesRoom(t *testing.T) {
+// TestRestOfCommandArrivesDuringEviction: a connection that stalled in the middle of a command is evicted. Where the
+// rest of the command arrives while the error reply is written, the client still receives that reply.
+func TestRestOfCommandArrivesDuringEviction(t *testing.T) {
 	text := putText("half", fields("plain", 8000, 1), []byte("body"))
-	var half *testClient
-	dialled, missed := make(chan struct{}), make(chan struct{})
-	c, addr, _ := serveFaulty(t, accept, func(tcp *net.TCPConn) net.Conn {
-		return &crossedConn{TCPConn: tcp, missed: missed, cross: func() {
+	var client *testClient
+	dialled, notReceived := make(chan struct{}), make(chan struct{})
+	server, addr, _ := serveFaultyConns(t, replyOK, func(tcp *net.TCPConn) net.Conn {
+		return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
 			<-dialled
-			io.WriteString(half, text[len(text)/2:])
+			io.WriteString(client, text[len(text)/2:])
 		}}
 	})
-	half = dialClient(t, addr)
+	client = dialClient(t, addr)
 	close(dialled)
-	io.WriteString(half, text[:len(text)/2])
-	waitFor(t, "its first bytes to be read", func() bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for cc := range c.conns {
-			if cc.reading {
+	io.WriteString(client, text[:len(text)/2])
+	waitFor(t, "the first bytes of the command to be read", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for conn := range server.conns {
+			if conn.readingCommand {
 				return true
 			}
 		}
 		return false
 	})
-	c.mu.Lock()
-	for cc := range c.conns {
-		cc.evict()
+	server.mu.Lock()
+	for conn := range server.conns {
+		conn.evict()
 	}
-	c.mu.Unlock()
-	if s := half.line(); !strings.HasPrefix(s, "-ERR ") {
-		t.Errorf("answer %q", s)
+	server.mu.Unlock()
+	if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		t.Errorf("got reply %q, want an error reply", reply)
 	}
-	half.orderlyEnd()
+	client.expectCleanEOF()
 }
 
-// A peer that neither reads its error nor ends its side, and goes on sending, is gone
-// soon after its error line all the same.
+// TestLingerIsBounded: a connection is closed soon after its error reply even where the client does not read the
+// reply, does not close its side, and goes on sending.
 func TestLingerIsBounded(t *testing.T) {
-	for name, more := range map[string]string{"silent": "", "sending": strings.Repeat("x", 16<<10)} {
+	for name, trailing := range map[string]string{"silent": "", "sending": strings.Repeat("x", 16<<10)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, addr, _ := serveClients(t, accept)
-			cl := dialClient(t, addr)
+			server, addr, _ := serveClients(t, replyOK)
+			client := dialClient(t, addr)
 			began := time.Now()
-			io.WriteString(cl, "nonsense\r\n")
-			gone := make(chan struct{})
+			io.WriteString(client, "nonsense\r\n")
+			writerDone := make(chan struct{})
 			go func() {
-				defer close(gone)
-				for more != "" {
-					if _, err := io.WriteString(cl, more); err != nil {
+				defer close(writerDone)
+				for trailing != "" {
+					if _, err := io.WriteString(client, trailing); err != nil {
 						return
 					}
 				}
 			}()
-			waitFor(t, "a connection", func() bool { return c.count() == 1 || time.Since(began) > lingerWait })
-			waitFor(t, "its end", func() bool { return c.count() == 0 })
-			// Its error after faultPause, its end after lingerWait: the rest is the machine's.
-			if took := time.Since(began); took > faultPause+lingerWait+2*time.Second {
-				t.Errorf("gone after %v", took)
+			waitFor(t, "the connection to be accepted", func() bool {
+				return server.count() == 1 || time.Since(began) > lingerTimeout
+			})
+			waitFor(t, "the connection to be closed", func() bool { return server.count() == 0 })
+			// The error reply comes after errorReplyDelay and the close after lingerTimeout. The rest allows for a
+			// busy machine.
+			if took := time.Since(began); took > errorReplyDelay+lingerTimeout+2*time.Second {
+				t.Errorf("closing the connection took %v, want at most 2 s above both delays", took)
 			}
-			<-gone
+			<-writerDone
 		})
 	}
 }
 
-// Resting clients that take no notice of their connection's end hold up nobody who
-// needs the place for long.
-func TestCrowdThatDoesNotLeave(t *testing.T) {
-	c, addr, _ := serveClients(t, accept)
-	c.mu.Lock()
-	c.most = 4
-	c.mu.Unlock()
+// TestClientsThatIgnoreEviction: idle clients that do not close their side after an eviction must not delay for long
+// the clients that need their slots.
+func TestClientsThatIgnoreEviction(t *testing.T) {
+	server, addr, _ := serveClients(t, replyOK)
+	server.mu.Lock()
+	server.maxConns = 4
+	server.mu.Unlock()
 	began := time.Now()
-	const crowd = 60
-	for i := range crowd { // each stays open, and rests
-		waitFor(t, "a place", func() bool {
+	const connections = 60
+	for i := range connections { // each client keeps its side open and sends nothing more
+		waitFor(t, "a connection that is served", func() bool {
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { conn.Close() })
-			io.WriteString(conn, ping)
+			io.WriteString(conn, pingCommand)
 			got := make([]byte, 5)
 			_, err = io.ReadFull(conn, got)
 			return err == nil && string(got) == "+PONG"
 		})
-		if n := c.count(); n > 4+overMost {
-			t.Errorf("connection %d: %d open", i, n)
+		if open := server.count(); open > 4+maxConnsOverLimit {
+			t.Errorf("after connection %d: got %d open connections, want at most the limit and the extra ones", i, open)
 		}
 	}
-	// Twelve places, each free again after lingerEvict: the crowd takes a tenth of a second at the best.
+	// There are 12 slots, and each is free again after evictedLingerTimeout, so the connections take at least 0.1 s.
 	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("%d connections in %v", crowd, took)
+		t.Errorf("%d connections took %v, want at most 5 s", connections, took)
 	}
 }
 
-// The operators' door answers a call that is too long or unknown, whatever comes
-// behind it, and ends in order.
-func TestDoorEndsInOrder(t *testing.T) {
+// TestOperatorPortClosesCleanly: the operator port answers a call that is known, unknown or too long, whatever follows
+// it, and closes the connection without a reset.
+func TestOperatorPortClosesCleanly(t *testing.T) {
 	for _, call := range []string{"nonsense\n", strings.Repeat("x", 64<<10), "READY\n" + strings.Repeat("x", 64<<10)} {
-		ln := listenLocal(t)
-		go (&ops{calls: opsCalls{"READY": func() (string, bool) { return "ready", true }}, clock: clock.System(), log: quietLog()}).serve(ln)
-		cl := dialClient(t, ln.Addr().String())
-		io.WriteString(cl, call)
-		if s := cl.line(); !strings.HasPrefix(s, "NAK ") && !strings.HasPrefix(s, "ACK ") {
-			t.Errorf("answer %q", s)
+		listener := listenLocal(t)
+		go (&operatorPort{calls: operatorCalls{"READY": func() (string, bool) { return "ready", true }},
+			clock: clock.System(), log: quietLog()}).serve(listener)
+		client := dialClient(t, listener.Addr().String())
+		io.WriteString(client, call)
+		if reply := client.line(); !strings.HasPrefix(reply, "NAK ") && !strings.HasPrefix(reply, "ACK ") {
+			t.Errorf("got reply %q, want ACK or NAK", reply)
 		}
-		cl.orderlyEnd()
+		client.expectCleanEOF()
 	}
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -42,10 +42,10 @@
 type message struct {
 	num              uint32
 	rec              *record
-	req              *request // until it is answered
-	acknowledged     bool     // its client knows that it is taken on
-	logged           bool     // the log has it, or will
-	over             bool     // the policy has ended it, or was told so
+	req              *putRequest // until it is answered
+	acknowledged     bool        // its client knows that it is taken on
+	logged           bool        // the log has it, or will
+	over             bool        // the policy has ended it, or was told so
 	tries            int
 	sent             clock.Instant // its last attempt
 	doubt            clock.Instant // the first attempt that may have run; zero for none
@@ -79,9 +79,9 @@
 
 // event is something that the loop is told.
 type event struct {
-	submitted   *request
-	replied     *request           // with ok
-	unlogged    *request           // the log could not take it
+	submitted   *putRequest
+	replied     *putRequest        // with ok
+	unlogged    *putRequest        // the log could not take it
 	update      *membership.Update // a list that was read whole
 	drains      bool               // a list being read says that endpoints drain
 	config      *Config            // a new one
@@ -89,9 +89,9 @@
 	msg         *message
 	peer        *peer // another process of this relay says hand, or is gone
 	line        *handoverMessage
-	recovered   []*record // left by a process that has ended
-	soleProcess bool      // no other process of this relay runs any more
-	forwarded   *request  // answered with reply, by way of another process
+	recovered   []*record   // left by a process that has ended
+	soleProcess bool        // no other process of this relay runs any more
+	forwarded   *putRequest // answered with reply, by way of another process
 	reply       string
 	unsent      *message // its attempt did not leave; with call and result
 	probed      decide.Endpoint
@@ -119,7 +119,7 @@
 	msgs           map[uint32]*message
 	ids            map[string]*message
 	past           endedReplies
-	waiting        map[*request]*message // whose clients have no answer yet
+	waiting        map[*putRequest]*message // whose clients have no answer yet
 	directory      *membership.Directory
 	applying       *membership.Update // a list that is being put in force
 	turn           turn
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &Relay{cfg: cfg, log: log, policy: policy, in: newMailbox[event](), clock: clk, epoch: policyEpoch, ctx: ctx,
-		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
+		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*putRequest]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: cfg.Known}
 	if cfg.KnownErr != nil {
 		log.Error("the list in the configuration is not taken", "err", cfg.KnownErr)
@@ -195,10 +195,10 @@
 	policy.Use(r)
 	r.pool = newPool(clk, 0, 0, 0)
 	go r.pool.run(ctx)
-	r.clients = newClients(cfg, clk, log, func(q *request) { r.in.put(event{submitted: q}) },
-		func(q *request, ok bool) { r.in.put(event{replied: q, ok: ok}) })
+	r.clients = newClients(cfg, clk, log, func(q *putRequest) { r.in.put(event{submitted: q}) },
+		func(q *putRequest, ok bool) { r.in.put(event{replied: q, ok: ok}) })
 	if cfg.Ops != "" {
-		go openOps(ctx, cfg.Ops, r.clients.opsCalls(), clk, log)
+		go serveOperatorPort(ctx, cfg.Ops, r.clients.operatorCalls(), clk, log)
 	}
 	go func() {
 		<-stop
@@ -432,7 +432,7 @@
 		}
 		if reading && gone >= stopReads {
 			reading = false
-			r.clients.cutOff()
+			r.clients.stopReadingAll()
 		}
 		// A client may have written its request, or half of it, as its connection was to
 		// go, and an answer may be given but not written; a notice may not have arrived.
@@ -484,14 +484,14 @@
 	case h.log != logUnchanged:
 		r.logChanged(h.log)
 	case h.forwarded != nil:
-		h.forwarded.answered = true
+		h.forwarded.replied = true
 		if h.reply != resp.OK && r.predecessor != nil {
-			delete(r.predecessor.puts, h.forwarded.rec.ID)
+			delete(r.predecessor.puts, h.forwarded.record.ID)
 		}
 	case h.stop && r.stopAt.IsZero():
 		r.stopAt = r.clock.Now()
 		r.log.Info("stopping", "held", r.held, "calls", r.calls)
-		r.clients.closeIdle()
+		r.clients.shutDown()
 	case h.unsent != nil:
 		r.finished(h.unsent, h.call, h.result)
 	case h.call != nil:
@@ -504,55 +504,55 @@
 
 // admit shows a message to the policy. Whether it is taken on shows in the
 // step: what the policy ends there is refused with no further ado.
-func (r *Relay) admit(q *request) {
-	switch old := r.ids[q.rec.ID]; {
+func (r *Relay) admit(q *putRequest) {
+	switch old := r.ids[q.record.ID]; {
 	case !r.stopAt.IsZero():
-		q.answer(resp.Busy(stopRetry))
+		q.sendReply(resp.Busy(stopRetry))
 		return
 	case r.recovering: // it may be ours already
-		q.answer(resp.Busy(logRetry))
+		q.sendReply(resp.Busy(logRetry))
 		return
 	case old != nil && old.acknowledged: // it is ours already
-		q.answer(resp.OK)
+		q.sendReply(resp.OK)
 		return
 	case old != nil:
-		q.answer(resp.Error(errors.New("id is being handed in already")))
+		q.sendReply(resp.Error(errors.New("id is being handed in already")))
 		return
-	case r.past.reply(q.rec.ID) != "": // it was ours: sent once more it could run again
-		q.answer(r.past.reply(q.rec.ID))
+	case r.past.reply(q.record.ID) != "": // it was ours: sent once more it could run again
+		q.sendReply(r.past.reply(q.record.ID))
 		return
-	case !r.directory.Named(q.rec.Dest):
+	case !r.directory.Named(q.record.Dest):
 		// It would be held for nothing. One whose endpoints are only gone for now
 		// has been named.
-		q.answer(resp.Error(fmt.Errorf("dest: no list names %d", q.rec.Dest)))
+		q.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", q.record.Dest)))
 		return
 	case r.cfg.Policy.MaxHeld > 0 && r.held >= r.cfg.Policy.MaxHeld:
-		q.answer(resp.Busy(0))
+		q.sendReply(resp.Busy(0))
 		return
 	case r.logFails:
-		q.answer(resp.Busy(logRetry))
+		q.sendReply(resp.Busy(logRetry))
 		return
 	}
 	// It was read under the settings of that moment; those of this one bind.
-	class, ok := r.cfg.classes[q.rec.Class]
+	class, ok := r.cfg.classes[q.record.Class]
 	if !ok {
-		q.answer(resp.Error(fmt.Errorf("c: unknown class %q", q.rec.Class)))
+		q.sendReply(resp.Error(fmt.Errorf("c: unknown class %q", q.record.Class)))
 		return
 	}
-	q.rec.Rules, q.rec.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
+	q.record.Rules, q.record.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
 	tenant := -1
-	if t, ok := r.cfg.tenants[q.rec.Tenant]; ok {
+	if t, ok := r.cfg.tenants[q.record.Tenant]; ok {
 		tenant = t
 	}
-	m := r.newMessage(q.rec)
+	m := r.newMessage(q.record)
 	m.req = q
 	r.waiting[q] = m
 	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
-		Dest: q.rec.Dest, Tenant: tenant, Left: r.policyTime(q.rec.Deadline) - r.now()})
+		Dest: q.record.Dest, Tenant: tenant, Left: r.policyTime(q.record.Deadline) - r.now()})
 }
 
 // replyWritten: the client has its answer, or left before it.
-func (r *Relay) replyWritten(q *request, ok bool) {
+func (r *Relay) replyWritten(q *putRequest, ok bool) {
 	m := r.waiting[q]
 	if m == nil {
 		return
@@ -574,12 +574,12 @@
 }
 
 // notLogged: the message could not be logged, so it is not taken on.
-func (r *Relay) notLogged(q *request) {
+func (r *Relay) notLogged(q *putRequest) {
 	if m := r.waiting[q]; m != nil {
 		delete(r.waiting, q)
 		r.withdraw(m)
 	}
-	q.answer(resp.Busy(logRetry))
+	q.sendReply(resp.Busy(logRetry))
 }
 
 // withdraw: nobody wants the message any more, and nobody was told it is ours.
@@ -710,7 +710,7 @@
 			r.in.put(event{unlogged: q})
 			return
 		}
-		q.answer(resp.OK)
+		q.sendReply(resp.OK)
 	})
 }
 
@@ -729,9 +729,9 @@
 		m.req = nil
 		delete(r.waiting, q)
 		if word == endHandedBack {
-			q.answer(resp.Busy(ms))
+			q.sendReply(resp.Busy(ms))
 		} else {
-			q.answer(resp.Error(errors.New("given up")))
+			q.sendReply(resp.Error(errors.New("given up")))
 		}
 		r.drop(m)
 		return
--- a/internal/relay/ops.go
+++ b/internal/relay/ops.go
@@ -13,26 +13,26 @@
 	"troutusher/internal/clock"
 )
 
-// The door for operators: a listener of its own, where each connection carries
-// one line and gets one back. Nothing here waits for the loop.
+// The operator port is a separate listener. Each connection carries one call, which is a line, and gets a reply of one
+// line. No call waits for the event loop, so the port answers while the loop is busy.
 
 const (
-	opsLine  = 64              // bytes of a call, its end included
-	opsWait  = 2 * time.Second // from a connection to the whole of its call
-	opsMost  = 12              // connections at once; past that the oldest makes room
-	opsAgain = 200 * time.Millisecond
+	maxOperatorLineBytes     = 64              // size limit of a call, line end included
+	operatorCallTimeout      = 2 * time.Second // from accepting a connection to the end of its reply
+	maxOperatorConns         = 12              // open connections; above that the oldest one is closed
+	operatorListenRetryDelay = 200 * time.Millisecond
 )
 
-// opsCalls are what the door can ask for. Each gives the answer's text and
-// whether it is a yes.
-type opsCalls map[string]func() (string, bool)
+// operatorCalls maps the calls of the operator port to their handlers. A handler returns the text of the reply and
+// whether the call is acknowledged.
+type operatorCalls map[string]func() (string, bool)
 
-// opsCalls are the calls that change or tell whether clients are taken.
-func (c *clients) opsCalls() opsCalls {
-	return opsCalls{
+// operatorCalls returns the calls that control and report whether clients are served.
+func (c *clients) operatorCalls() operatorCalls {
+	return operatorCalls{
 		"READY": func() (string, bool) {
 			if !c.ready() {
-				return c.unready(), false
+				return c.notReadyReason(), false
 			}
 			return "ready", true
 		},
@@ -49,39 +49,39 @@
 	}
 }
 
-// ops is the door.
-type ops struct {
-	calls opsCalls
+// operatorPort serves the calls of operators.
+type operatorPort struct {
+	calls operatorCalls
 	clock clock.Clock
 	log   *slog.Logger
 
 	mu    sync.Mutex
-	conns []net.Conn // the oldest first
+	conns []net.Conn // open connections, oldest first
 }
 
-// openOps listens at addr until ctx ends. Where the address cannot be had, as
-// while another process still holds it, the relay works on and it is tried again.
-func openOps(ctx context.Context, addr string, calls opsCalls, clk clock.Clock, log *slog.Logger) {
-	ln, err := net.Listen("tcp", addr)
+// serveOperatorPort serves the operator port at addr until ctx ends. While the address is in use, for example by the
+// predecessor process, the relay works without the port and listening is retried.
+func serveOperatorPort(ctx context.Context, addr string, calls operatorCalls, clk clock.Clock, log *slog.Logger) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		log.Error("ops: the door does not open, trying on", "err", err)
+		log.Error("operator port: cannot listen, retrying", "err", err)
 	}
 	for err != nil && ctx.Err() == nil {
-		sleep(ctx, opsAgain)
-		ln, err = net.Listen("tcp", addr)
+		sleep(ctx, operatorListenRetryDelay)
+		listener, err = net.Listen("tcp", addr)
 	}
 	if err != nil {
 		return
 	}
-	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	log.Info("ops: door open", "listen", ln.Addr().String())
-	(&ops{calls: calls, clock: clk, log: log}).serve(ln)
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	log.Info("operator port: listening", "listen", listener.Addr().String())
+	(&operatorPort{calls: calls, clock: clk, log: log}).serve(listener)
 }
 
-func (o *ops) serve(ln net.Listener) {
-	backoff := acceptBackoff{log: o.log, clock: o.clock, listener: "ops"}
+func (o *operatorPort) serve(listener net.Listener) {
+	backoff := acceptBackoff{log: o.log, clock: o.clock, listener: "operator port"}
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -90,33 +90,32 @@
 			continue
 		}
 		backoff.accepted()
-		conn.SetDeadline(clock.Deadline(opsWait))
+		conn.SetDeadline(clock.Deadline(operatorCallTimeout))
 		o.mu.Lock()
-		if o.conns = append(o.conns, conn); len(o.conns) > opsMost {
-			o.conns[0].Close() // its own goroutine takes note
+		if o.conns = append(o.conns, conn); len(o.conns) > maxOperatorConns {
+			o.conns[0].Close() // its goroutine gets a read error and ends
 			o.conns = o.conns[1:]
 		}
 		o.mu.Unlock()
-		go o.talk(conn)
+		go o.handleConn(conn)
 	}
 }
 
-// talk answers one call. A line that is cut short is none: half of one must
-// not be taken for another.
-func (o *ops) talk(conn net.Conn) {
+// handleConn answers one call. An incomplete line is refused, since its start may be the name of another call.
+func (o *operatorPort) handleConn(conn net.Conn) {
 	defer func() {
-		linger(conn, o.clock, lingerWait)
+		linger(conn, o.clock, lingerTimeout)
 		conn.Close()
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		for i, c := range o.conns {
-			if c == conn {
+		for i, open := range o.conns {
+			if open == conn {
 				o.conns = append(o.conns[:i], o.conns[i+1:]...)
 				return
 			}
 		}
 	}()
-	line, err := bufio.NewReaderSize(conn, opsLine).ReadSlice('\n')
+	line, err := bufio.NewReaderSize(conn, maxOperatorLineBytes).ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) || errors.Is(err, io.EOF) && len(line) > 0 {
 			io.WriteString(conn, "NAK no whole call\n")
@@ -132,13 +131,14 @@
 		io.WriteString(conn, "NAK unknown call\n")
 		return
 	}
-	text, yes := call()
-	word := "NAK "
-	if yes {
-		word = "ACK "
+	text, acknowledged := call()
+	prefix := "NAK "
+	if acknowledged {
+		prefix = "ACK "
 	}
-	io.WriteString(conn, word+text+"\n")
+	io.WriteString(conn, prefix+text+"\n")
 	if string(line) != "READY" {
-		o.log.Info("ops: call", "call", string(line), "yes", yes, "says", text, "from", conn.RemoteAddr().String())
+		o.log.Info("operator port: call", "call", string(line), "yes", acknowledged, "says", text,
+			"from", conn.RemoteAddr().String())
 	}
 }
--- a/internal/relay/ops_test.go
+++ b/internal/relay/ops_test.go
@@ -13,13 +13,14 @@
 	"troutusher/internal/resp"
 )
 
+// freeAddr returns an address with a free port for an operator port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	return reserveAddr(t)
 }
 
-// tell sends text to the door and returns its line; empty for none.
-func tell(t *testing.T, addr, text string) string {
+// callOperatorPort sends text to the operator port and returns the reply line, or an empty string where none comes.
+func callOperatorPort(t *testing.T, addr, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -29,142 +30,147 @@
 	conn.SetDeadline(time.Now().Add(30 * time.Second))
 	io.WriteString(conn, text)
 	conn.(*net.TCPConn).CloseWrite()
-	s, _ := bufio.NewReader(conn).ReadString('\n')
-	return s
+	reply, _ := bufio.NewReader(conn).ReadString('\n')
+	return reply
 }
 
-func doorUp(t *testing.T, addr string) {
+// waitForOperatorPort waits until the operator port acknowledges READY.
+func waitForOperatorPort(t *testing.T, addr string) {
 	t.Helper()
-	waitFor(t, "READY", func() bool {
+	waitFor(t, "READY to be acknowledged", func() bool {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
 		conn.Close()
-		return strings.HasPrefix(tell(t, addr, "READY\n"), "ACK")
+		return strings.HasPrefix(callOperatorPort(t, addr, "READY\n"), "ACK")
 	})
 }
 
-const ping = "*1\r\n$4\r\nPING\r\n"
+const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// Guards a drain from both sides. Clients are sent away: PING is no, an idle
-// connection is closed, one with a request under way after its answer, and a
-// new one after its first. Messages are taken on and delivered as ever, the
-// process stays, and UNDRAIN takes it all back.
+// TestDrain: while the relay is drained PING gets an error reply, an idle connection is closed, a connection with a
+// request in flight is closed after its reply, and a new connection after its first reply. Messages are still taken
+// and delivered, the process keeps running, and UNDRAIN restores normal service.
 func TestDrain(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
 	env["ROUTER_OPS"] = freeAddr(t)
-	c := startChild(t, env)
-	doorUp(t, env["ROUTER_OPS"])
-	idle, half := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
-	for _, cl := range []*testClient{idle, half} {
-		io.WriteString(cl, ping)
-		if s := cl.line(); s != "+PONG" {
-			t.Fatal(s)
+	process := startChild(t, env)
+	waitForOperatorPort(t, env["ROUTER_OPS"])
+	idle, incomplete := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
+	for _, client := range []*testClient{idle, incomplete} {
+		io.WriteString(client, pingCommand)
+		if reply := client.line(); reply != "+PONG" {
+			t.Fatal(reply)
 		}
 	}
 	text := putText("half", fields("plain", 8000, 1), []byte("body"))
-	io.WriteString(half, text[:20])
-	time.Sleep(50 * time.Millisecond) // its first bytes are to be read; too short a wait only tests less
+	io.WriteString(incomplete, text[:20])
+	time.Sleep(50 * time.Millisecond) // lets the first bytes be read; with too short a wait the test covers less
 	for range 2 {
-		if s := tell(t, env["ROUTER_OPS"], "DRAIN\n"); !strings.HasPrefix(s, "ACK ") {
-			t.Fatalf("DRAIN: %q", s)
+		if reply := callOperatorPort(t, env["ROUTER_OPS"], "DRAIN\n"); !strings.HasPrefix(reply, "ACK ") {
+			t.Fatalf("DRAIN: got reply %q, want ACK", reply)
 		}
 	}
-	if s := tell(t, env["ROUTER_OPS"], "READY\r\n"); !strings.HasPrefix(s, "NAK ") {
-		t.Errorf("READY while drained: %q", s)
+	if reply := callOperatorPort(t, env["ROUTER_OPS"], "READY\r\n"); !strings.HasPrefix(reply, "NAK ") {
+		t.Errorf("READY while drained: got reply %q, want NAK", reply)
 	}
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
-	io.WriteString(half, text[20:])
-	if s := half.line(); s != "+OK" {
-		t.Errorf("a request under way: %q", s)
+	io.WriteString(incomplete, text[20:])
+	if reply := incomplete.line(); reply != "+OK" {
+		t.Errorf("request in flight: got reply %q, want +OK", reply)
 	}
-	if _, err := half.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+	if _, err := incomplete.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("after the reply to the request in flight: got error %v, want EOF", err)
 	}
 	late := dialClient(t, env["ROUTER_LISTEN"])
-	if s := late.put("late", fields("plain", 8000, 1), nil); s != "+OK" {
-		t.Errorf("on a new connection: %q", s)
+	if reply := late.put("late", fields("plain", 8000, 1), nil); reply != "+OK" {
+		t.Errorf("message on a new connection: got reply %q, want +OK", reply)
 	}
 	if _, err := late.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a new one after its answer: %v", err)
+		t.Errorf("new connection after its first reply: got error %v, want EOF", err)
 	}
-	asked := dialClient(t, env["ROUTER_LISTEN"])
-	io.WriteString(asked, ping)
-	if s := asked.line(); !strings.HasPrefix(s, "-ERR ") {
-		t.Errorf("PING while drained: %q", s)
+	pinged := dialClient(t, env["ROUTER_LISTEN"])
+	io.WriteString(pinged, pingCommand)
+	if reply := pinged.line(); !strings.HasPrefix(reply, "-ERR ") {
+		t.Errorf("PING while drained: got reply %q, want an error reply", reply)
 	}
-	waitFor(t, "what was taken on", func() bool { return ep.count("half") == 1 && ep.count("late") == 1 })
+	waitFor(t, "the delivery of the messages taken", func() bool {
+		return ep.count("half") == 1 && ep.count("late") == 1
+	})
 	for range 2 {
-		if s := tell(t, env["ROUTER_OPS"], "UNDRAIN\n"); !strings.HasPrefix(s, "ACK ") {
-			t.Fatalf("UNDRAIN: %q", s)
+		if reply := callOperatorPort(t, env["ROUTER_OPS"], "UNDRAIN\n"); !strings.HasPrefix(reply, "ACK ") {
+			t.Fatalf("UNDRAIN: got reply %q, want ACK", reply)
 		}
 	}
-	if s := tell(t, env["ROUTER_OPS"], "READY\n"); !strings.HasPrefix(s, "ACK ") {
-		t.Errorf("READY again: %q", s)
+	if reply := callOperatorPort(t, env["ROUTER_OPS"], "READY\n"); !strings.HasPrefix(reply, "ACK ") {
+		t.Errorf("READY after UNDRAIN: got reply %q, want ACK", reply)
 	}
-	back := dialClient(t, env["ROUTER_LISTEN"])
-	for range 2 { // it is kept again
-		io.WriteString(back, ping)
-		if s := back.line(); s != "+PONG" {
-			t.Fatalf("PING again: %q", s)
+	kept := dialClient(t, env["ROUTER_LISTEN"])
+	for range 2 { // the connection stays open after its first reply
+		io.WriteString(kept, pingCommand)
+		if reply := kept.line(); reply != "+PONG" {
+			t.Fatalf("PING after UNDRAIN: got reply %q, want +PONG", reply)
 		}
 	}
-	if c.cmd.ProcessState != nil {
-		t.Error("the process has ended")
+	if process.cmd.ProcessState != nil {
+		t.Error("the drained process has ended, want it running")
 	}
 }
 
-// Guards a request that crosses the moment in which its connection is let go:
-// its bytes wait unread, and a close would reset them under the client.
+// TestUnreadRequestIsRead: a request whose bytes are unread in the socket when its connection begins to close is read.
+// Closing the connection would reset it and lose the request.
 func TestUnreadRequestIsRead(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	client, err := net.Dial("tcp", ln.Addr().String())
+	defer listener.Close()
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	conn, err := ln.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	c := newClients(testSet(t), clock.System(), quietLog(), accept, func(*request, bool) {})
-	cc := &clientConn{Conn: conn, clock: clock.System(), spoke: true}
-	c.mu.Lock()
-	cc.release()
-	c.mu.Unlock()
-	_, err = cc.Read(make([]byte, 1))
-	if c.crossed(cc, err) {
-		t.Error("nothing has come")
-	}
-	io.WriteString(client, ping)
-	waitFor(t, "the request, behind a deadline that has passed", func() bool { return c.crossed(cc, err) })
-	if args, err := resp.ReadCommand(bufio.NewReader(cc)); err != nil || string(args[0]) != "PING" {
-		t.Errorf("read %q, %v", args, err)
+	server := newClients(testSet(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {})
+	serverConn := &clientConn{Conn: conn, clock: clock.System(), sentCommand: true}
+	server.mu.Lock()
+	serverConn.beginClose()
+	server.mu.Unlock()
+	_, err = serverConn.Read(make([]byte, 1))
+	if server.requestArrived(serverConn, err) {
+		t.Error("got a request on a connection on which nothing was sent")
+	}
+	io.WriteString(client, pingCommand)
+	waitFor(t, "the request to be found after the read deadline", func() bool {
+		return server.requestArrived(serverConn, err)
+	})
+	if args, err := resp.ReadCommand(bufio.NewReader(serverConn)); err != nil || string(args[0]) != "PING" {
+		t.Errorf("got command %q and error %v, want PING", args, err)
 	}
 }
 
-// Guards the door: what is no call is a no, half a line is not taken for a
-// whole one, and callers that say nothing, however many, keep nobody out.
-func TestDoor(t *testing.T) {
+// TestOperatorPort: an unknown or incomplete call gets NAK, and connections that do not finish their call, however
+// many, keep no operator out.
+func TestOperatorPort(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_OPS"] = freeAddr(t)
 	startChild(t, env)
-	doorUp(t, env["ROUTER_OPS"])
-	for _, text := range []string{"\n", "ready\n", "HELP\n", "READY now\n", "DRAIN", strings.Repeat("x", 3*opsLine) + "\n"} {
-		if s := tell(t, env["ROUTER_OPS"], text); !strings.HasPrefix(s, "NAK ") {
-			t.Errorf("%q: %q", text, s)
+	waitForOperatorPort(t, env["ROUTER_OPS"])
+	for _, text := range []string{"\n", "ready\n", "HELP\n", "READY now\n", "DRAIN",
+		strings.Repeat("x", 3*maxOperatorLineBytes) + "\n"} {
+		if reply := callOperatorPort(t, env["ROUTER_OPS"], text); !strings.HasPrefix(reply, "NAK ") {
+			t.Errorf("call %q: got reply %q, want NAK", text, reply)
 		}
 	}
-	for range 3 * opsMost {
+	for range 3 * maxOperatorConns {
 		conn, err := net.Dial("tcp", env["ROUTER_OPS"])
 		if err != nil {
 			t.Fatal(err)
@@ -173,23 +179,24 @@
 		io.WriteString(conn, "REA")
 	}
 	began := time.Now()
-	if s := tell(t, env["ROUTER_OPS"], "READY\n"); !strings.HasPrefix(s, "ACK ") {
-		t.Errorf("beside silent callers: %q", s)
+	if reply := callOperatorPort(t, env["ROUTER_OPS"], "READY\n"); !strings.HasPrefix(reply, "ACK ") {
+		t.Errorf("READY beside unfinished calls: got reply %q, want ACK", reply)
 	}
-	if took := time.Since(began); took >= opsWait {
-		t.Errorf("answered after %v: it waited for the silent ones", took)
+	if took := time.Since(began); took >= operatorCallTimeout {
+		t.Errorf("READY was answered after %v, want less than the timeout of the unfinished calls", took)
 	}
 }
 
-// The door opens as soon as its address is free; until then the relay serves.
-func TestDoorTaken(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// TestOperatorPortAddressInUse: the operator port opens as soon as its address is free, and the relay serves clients
+// until then.
+func TestOperatorPortAddressInUse(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	env := testConfig(t, newFakeDiscovery(t), 3)
-	env["ROUTER_OPS"] = ln.Addr().String()
+	env["ROUTER_OPS"] = listener.Addr().String()
 	startChild(t, env) // waits for PONG
-	ln.Close()
-	doorUp(t, env["ROUTER_OPS"])
+	listener.Close()
+	waitForOperatorPort(t, env["ROUTER_OPS"])
 }
--- a/internal/relay/process_end_test.go
+++ b/internal/relay/process_end_test.go
@@ -12,8 +12,8 @@
 // What ends the process ends no request without its answer: one that was read whole
 // waits for it, half a command gets an error, and what is sent from then on is not read.
 func TestEndOfTheProcessAnswers(t *testing.T) {
-	got := make(chan *request, 2)
-	c, addr, said := serveClients(t, func(q *request) { got <- q })
+	got := make(chan *putRequest, 2)
+	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
 	whole, half := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(whole, putText("m", fields("plain", 8000, 1), nil))
 	q := <-got
@@ -22,22 +22,22 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for cc := range c.conns {
-			if cc.reading {
+			if cc.readingCommand {
 				return true
 			}
 		}
 		return false
 	})
-	c.cutOff()
+	c.stopReadingAll()
 	if s := half.line(); !strings.HasPrefix(s, "-ERR ") {
 		t.Errorf("half a command: %q", s)
 	}
-	half.orderlyEnd()
-	q.answer(resp.OK)
+	half.expectCleanEOF()
+	q.sendReply(resp.OK)
 	if s := whole.line(); s != "+OK" || !<-said {
 		t.Errorf("answer %q", s)
 	}
-	whole.orderlyEnd()
+	whole.expectCleanEOF()
 	waitFor(t, "the ends", func() bool { return c.count() == 0 })
 }
 
@@ -47,7 +47,7 @@
 	env[commandTimeEnv] = "1m"
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	io.WriteString(cl, ping)
+	io.WriteString(cl, pingCommand)
 	if s := cl.line(); s != "+PONG" {
 		t.Fatal(s)
 	}
@@ -57,7 +57,7 @@
 	if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
 		t.Errorf("answer %q", s)
 	}
-	cl.orderlyEnd()
+	cl.expectCleanEOF()
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -61,7 +61,7 @@
 		r.events = append(r.events, decide.Event{Kind: decide.EvSettings, Settings: &cfg.Policy})
 	}
 	clients, endpoints := r.budget()
-	r.clients.retune(cfg, clients)
+	r.clients.reconfigure(cfg, clients)
 	r.pool.tune(&cfg.Policy, endpoints)
 	r.log.Info("new configuration taken over", "classes", len(cfg.Policy.Classes), "attempts", cfg.Policy.MaxAttempts,
 		"settings_changed", !reflect.DeepEqual(cfg.Policy, old.Policy))
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -19,7 +19,7 @@
 	ep := newFakeEndpoint(t, nil)
 	c := startChild(t, testConfig(t, newFakeDiscovery(t, ep.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
-	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", bodyMost))}
+	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodyBytes))}
 	for i, body := range bodies {
 		id := fmt.Sprintf("m%d", i)
 		if s := cl.put(id, fields("keyed", 8000, 7), body); s != "+OK" {
@@ -165,7 +165,7 @@
 	env := testConfig(t, newFakeDiscovery(t), 1)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	body := []byte(strings.Repeat("b", bodyMost))
+	body := []byte(strings.Repeat("b", maxBodyBytes))
 	taken, refused := 0, 0
 	for i := range 40 {
 		switch s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 9), body); {
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -179,7 +179,7 @@
 // put hands a message in, on a new connection where the last one may have been ended.
 func (r *scaleRelay) put(id string, dest int) string {
 	r.t.Helper()
-	if time.Since(r.used) > idleWait/4 {
+	if time.Since(r.used) > idleTimeout/4 {
 		r.cl = dialClient(r.t, r.c.env["ROUTER_LISTEN"])
 	}
 	r.used = time.Now()
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -137,7 +137,7 @@
 	const limit = 1 << 20
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, limit)
-	body := strings.Repeat("b", bodyMost)
+	body := strings.Repeat("b", maxBodyBytes)
 	n := 0
 	for ; ; n++ {
 		if err := w.append(taken(strconv.Itoa(n), body), false); err != nil {
@@ -220,7 +220,7 @@
 		w.adoptClock(now, "log")
 		for id, l := range w.live {
 			if rules := l.rec.Rules; rules != nil && rules.Deadline > 0 && rules.Deadline < 1e12 &&
-				w.reader.reading.Boot != now.Boot && l.rec.Deadline > now.Now+clock.Instant(deadlineMost*rules.Deadline) {
+				w.reader.reading.Boot != now.Boot && l.rec.Deadline > now.Now+clock.Instant(maxDeadlineFactor*rules.Deadline) {
 				t.Errorf("%q has more time left than its class may have: %d", id, l.rec.Deadline)
 			}
 		}
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -98,7 +98,7 @@
 	t.Doubt, t.Out = c.Instant(t.Doubt), c.Instant(t.Out)
 	t.WindowUnknown = t.WindowUnknown || t.Doubt != 0 || t.Out != 0
 	if t.Rules != nil { // no message was taken on with more
-		t.Deadline = min(t.Deadline, now+clock.Instant(deadlineMost*t.Rules.Deadline))
+		t.Deadline = min(t.Deadline, now+clock.Instant(maxDeadlineFactor*t.Rules.Deadline))
 	}
 }
 
