--- a/internal/relay/faulty_client_test.go
+++ b/internal/relay/faulty_client_test.go
@@ -65,8 +65,8 @@
 func TestReplyWriteFails(t *testing.T) {
 	for failAfter := range len(resp.OK) {
 		for _, errno := range transientErrnos {
-			_, addr, written := serveFaultyConns(t, replyOK, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: failAfter, writeErrno: errno, writeFails: 2}
+			_, addr, written := serveFaultyConns(t, replyOK, func(conn *net.TCPConn) net.Conn {
+				return &faultyConn{TCPConn: conn, writeFail: failAfter, writeErrno: errno, writeFails: 2}
 			})
 			client := dialClient(t, addr)
 			if reply := client.put("m", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
@@ -78,15 +78,15 @@
 			}
 		}
 		for _, errno := range brokenErrnos {
-			c, addr, written := serveFaultyConns(t, replyOK, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: failAfter, writeErrno: errno, writeFails: 1 << 30}
+			server, addr, written := serveFaultyConns(t, replyOK, func(conn *net.TCPConn) net.Conn {
+				return &faultyConn{TCPConn: conn, writeFail: failAfter, writeErrno: errno, writeFails: 1 << 30}
 			})
 			client := dialClient(t, addr)
 			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
 			if <-written {
 				t.Errorf("%v after %d bytes: the reply was reported as written, want not written", errno, failAfter)
 			}
-			waitFor(t, "the connection to be closed", func() bool { return c.count() == 0 })
+			waitFor(t, "the connection to be closed", func() bool { return server.count() == 0 })
 		}
 	}
 }
