--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -36,7 +36,7 @@
 		a.log.Warn(a.listener+": accept", "err", err, "failures", a.unlogged)
 		a.unlogged, a.loggedAt = 0, now
 	}
-	if a.inRow <= acceptSkips && isOfOneConnection(err) {
+	if a.inRow <= acceptSkips && isSingleConnFailure(err) {
 		return 0
 	}
 	return acceptPause
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -15,22 +15,22 @@
 	"troutusher/decide"
 )
 
-// bulk is an endpoint of the kind that takes several messages in a call.
-func (e *fakeEndpoint) bulk(id string, cell int) Member {
+// batchMember is the list entry of an endpoint whose kind accepts several messages in a call.
+func (e *fakeEndpoint) batchMember(id string, cell int) Member {
 	m := e.member(id, cell)
 	m.Flavor = "bulk"
 	return m
 }
 
-// batchOf reads the messages of a call with several.
-func batchOf(t *testing.T, body []byte) (ids []string, bodies [][]byte) {
+// decodeBatch decodes the messages of a call with several.
+func decodeBatch(t *testing.T, body []byte) (ids []string, bodies [][]byte) {
 	t.Helper()
 	var items []struct {
 		ID   string
 		Body []byte
 	}
 	if err := json.Unmarshal(body, &items); err != nil {
-		t.Errorf("%v: %s", err, body)
+		t.Errorf("decoding a batch: error %v, body %s", err, body)
 	}
 	for _, x := range items {
 		ids, bodies = append(ids, x.ID), append(bodies, x.Body)
@@ -38,9 +38,9 @@
 	return ids, bodies
 }
 
-// queued hands messages in while a first one holds the only call that the
-// window lets out, and lets that end once all are taken on.
-func queued(t *testing.T, answer http.HandlerFunc, class string, ids ...string) (*fakeDiscovery, *fakeEndpoint) {
+// putWhileBusy puts messages while the call of an earlier one fills the destination's window of one call. It ends
+// that call once all messages are accepted.
+func putWhileBusy(t *testing.T, answer http.HandlerFunc, class string, ids ...string) (*fakeDiscovery, *fakeEndpoint) {
 	t.Helper()
 	entered, release := make(chan struct{}), make(chan struct{})
 	ep := newFakeEndpoint(t, nil)
@@ -55,15 +55,15 @@
 		case <-r.Context().Done():
 		}
 	})
-	disc := newFakeDiscovery(t, ep.bulk("s-1", 7))
+	disc := newFakeDiscovery(t, ep.batchMember("s-1", 7))
 	c := startChild(t, testConfig(t, disc, 3))
-	cl := dialClient(t, c.env["ROUTER_LISTEN"])
-	if s := cl.put("first", fields(class, 20000, 7), nil); s != "+OK" {
+	client := dialClient(t, c.env["ROUTER_LISTEN"])
+	if s := client.put("first", fields(class, 20000, 7), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	<-entered
 	for _, id := range ids {
-		if s := cl.put(id, fields(class, 20000, 7), []byte("body of "+id)); s != "+OK" {
+		if s := client.put(id, fields(class, 20000, 7), []byte("body of "+id)); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
@@ -71,10 +71,10 @@
 	return disc, ep
 }
 
-// Guards a limited destination: it counts calls, so what waits for it travels
-// together, as far as the settings allow, and a message alone goes as before.
-func TestMessagesTravelTogether(t *testing.T) {
-	_, ep := queued(t, func(w http.ResponseWriter, r *http.Request) {
+// Guards batching at a destination that limits its calls: waiting messages are sent in one call, as many as the
+// settings allow, and a single message is sent as a call of its own.
+func TestWaitingMessagesAreBatched(t *testing.T) {
+	_, ep := putWhileBusy(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == callPath {
 			return
 		}
@@ -86,69 +86,69 @@
 	for _, c := range ep.calls[1:] {
 		if c.id != "" {
 			if c.id != "d" || string(c.body) != "body of d" {
-				t.Errorf("alone: %+v", c)
+				t.Errorf("call with a single message: got %+v, want message d", c)
 			}
 			continue
 		}
-		ids, bodies := batchOf(t, c.body)
+		ids, bodies := decodeBatch(t, c.body)
 		if !slices.Equal(ids, []string{"a", "b", "c"}) || string(bodies[2]) != "body of c" || c.timeout == "" {
-			t.Errorf("together: %v, bodies %q, timeout %q", ids, bodies, c.timeout)
+			t.Errorf("batch: got messages %v, bodies %q, timeout %q, want a, b and c with a timeout", ids, bodies, c.timeout)
 		}
 	}
 }
 
-// Guards the end of each message of a call: what was taken is over, what may
-// have run and may not be repeated is given up, what never ran goes out again.
-func TestEachOfABatchHasItsEnd(t *testing.T) {
-	disc, ep := queued(t, func(w http.ResponseWriter, r *http.Request) {
+// Guards the outcome of each message of a batch: an accepted message is finished, one that may have run and must not
+// be repeated is given up, and one that has not run is sent again.
+func TestEachMessageOfABatchHasItsOutcome(t *testing.T) {
+	disc, ep := putWhileBusy(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == batchPath {
 			io.WriteString(w, `[{"id":"taken","state":"accepted"},{"id":"fault","state":"fault"},{"id":"later","state":"deferred"}]`)
 		}
 	}, "once", "taken", "fault", "later")
-	waitFor(t, "the one put off", func() bool { return ep.count("later") == 1 })
-	waitFor(t, "notice of the fault", func() bool { n, ok := disc.notice("fault"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "the deferred message", func() bool { return ep.count("later") == 1 })
+	waitFor(t, "the notice of the failed message", func() bool { n, ok := disc.notice("fault"); return ok && n.Outcome == noticeGivenUp })
 	for _, id := range []string{"taken", "later"} {
 		if n, ok := disc.notice(id); ok {
-			t.Errorf("notice %+v", n)
+			t.Errorf("notice of a message that was not given up: got %+v, want none", n)
 		}
 	}
 	if n := ep.count("taken") + ep.count("fault"); n != 0 {
-		t.Errorf("%d further calls of what may have run", n)
+		t.Errorf("further calls with messages that were accepted or may have run: got %d, want 0", n)
 	}
 }
 
-// Guards what an answer to several messages says: it is believed as a whole or
-// not at all, and a wait in it binds whatever became of the messages.
-func TestBatchAnswers(t *testing.T) {
+// Guards the response to a batch: it is accepted as a whole or not at all, and its Retry-After applies whatever the
+// results of the messages are.
+func TestBatchResponses(t *testing.T) {
 	const ok, empty = "HTTP/1.1 200 OK\r\n", "Content-Length: 0\r\n\r\n"
-	both := func(a, b ending) map[string]ending { return map[string]ending{"a": a, "b": b} }
+	both := func(a, b itemResult) map[string]itemResult { return map[string]itemResult{"a": a, "b": b} }
 	for name, x := range map[string]struct {
 		head, body string
 		what       decide.Outcome
-		ends       map[string]ending
+		ends       map[string]itemResult
 		wait       decide.Time
 	}{
-		"each its own": {ok, `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`, decide.Errored,
-			both(ending{decide.Delivered, true}, ending{decide.Full, false}), 0},
-		"over, used up": {ok, `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"}]`, decide.Errored,
-			both(ending{decide.NotSent, true}, ending{decide.NotSent, false}), 0},
-		"with a wait": {ok + "Retry-After: 0.5\r\n", `[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
-			both(ending{decide.Delivered, true}, ending{decide.Delivered, true}), 500000},
-		"one left out":    {ok, `[{"id":"a","state":"accepted"}]`, decide.Errored, map[string]ending{"a": {decide.Delivered, true}}, 0},
-		"a stranger":      {ok, `[{"id":"a","state":"accepted"},{"id":"z","state":"accepted"}]`, decide.Errored, nil, 0},
-		"twice":           {ok, `[{"id":"a","state":"accepted"},{"id":"a","state":"fault"}]`, decide.Errored, nil, 0},
-		"no such state":   {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
-		"not the form":    {ok, `accepted`, decide.Errored, nil, 0},
-		"bad wait":        {ok + "Retry-After: soon\r\n", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
-		"told to wait":    {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Full, nil, 750000},
-		"full":            {"HTTP/1.1 503 F\r\n", "", decide.Full, nil, 0},
-		"error":           {"HTTP/1.1 500 E\r\n", "", decide.Errored, nil, 0},
-		"too many":        {"HTTP/1.1 413 M\r\n", "", decide.NotSent, nil, 0},
-		"unreadable":      {"HTTP/1.1 400 B\r\n", "", decide.NotSent, nil, 0},
-		"of one, not all": {"HTTP/1.1 410 G\r\n", "", decide.Errored, nil, 0},
+		"different states": {ok, `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`, decide.Errored,
+			both(itemResult{decide.Delivered, true}, itemResult{decide.Full, false}), 0},
+		"expired, no more attempts": {ok, `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"}]`, decide.Errored,
+			both(itemResult{decide.NotSent, true}, itemResult{decide.NotSent, false}), 0},
+		"with Retry-After": {ok + "Retry-After: 0.5\r\n", `[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
+			both(itemResult{decide.Delivered, true}, itemResult{decide.Delivered, true}), 500000},
+		"one message missing":        {ok, `[{"id":"a","state":"accepted"}]`, decide.Errored, map[string]itemResult{"a": {decide.Delivered, true}}, 0},
+		"unknown message":            {ok, `[{"id":"a","state":"accepted"},{"id":"z","state":"accepted"}]`, decide.Errored, nil, 0},
+		"message named twice":        {ok, `[{"id":"a","state":"accepted"},{"id":"a","state":"fault"}]`, decide.Errored, nil, 0},
+		"unknown state":              {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
+		"invalid JSON":               {ok, `accepted`, decide.Errored, nil, 0},
+		"invalid Retry-After":        {ok + "Retry-After: soon\r\n", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
+		"429 with Retry-After":       {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Full, nil, 750000},
+		"unavailable":                {"HTTP/1.1 503 F\r\n", "", decide.Full, nil, 0},
+		"error":                      {"HTTP/1.1 500 E\r\n", "", decide.Errored, nil, 0},
+		"too large":                  {"HTTP/1.1 413 M\r\n", "", decide.NotSent, nil, 0},
+		"bad request":                {"HTTP/1.1 400 B\r\n", "", decide.NotSent, nil, 0},
+		"status for single messages": {"HTTP/1.1 410 G\r\n", "", decide.Errored, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if readCall(bufio.NewReader(c)) {
 					text := x.head + empty
 					if x.body != "" {
@@ -157,24 +157,24 @@
 					io.WriteString(c, text)
 				}
 			}))
-			told := make(chan outcome, 4)
-			newTestCall().run(h, append(testPart("a"), testPart("b")...), nil, func(_ *message, o outcome) { told <- o })
+			told := make(chan callResult, 4)
+			newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { told <- o })
 			o := <-told
-			if o.what != x.what || o.wait != x.wait || o.settled || len(o.ends) != len(x.ends) || len(told) != 0 {
-				t.Errorf("got %+v", o)
+			if o.outcome != x.what || o.retryAfter != x.wait || o.settled || len(o.itemResults) != len(x.ends) || len(told) != 0 {
+				t.Errorf("result: got %+v, want that of the case, once", o)
 			}
 			for id, end := range x.ends {
-				if o.ends[id] != end {
-					t.Errorf("%s: got %+v, want %+v", id, o.ends[id], end)
+				if o.itemResults[id] != end {
+					t.Errorf("result of message %s: got %+v, want %+v", id, o.itemResults[id], end)
 				}
 			}
 		})
 	}
 }
 
-// Guards a message against the others of its call: its own time-out and being
-// called off leave the call to those that still want it, and the last ends it.
-func TestBatchIsWantedToTheLast(t *testing.T) {
+// Guards the messages of a call against each other: if one of them times out or is cancelled, the call goes on for
+// the others. It is cancelled with its last message.
+func TestBatchEndsWithItsLastMessage(t *testing.T) {
 	entered, gone := make(chan []byte, 1), make(chan struct{}, 1)
 	addr := rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -184,7 +184,7 @@
 		}
 		body, _ := io.ReadAll(req.Body)
 		entered <- body
-		in.ReadByte() // until the caller closes
+		in.ReadByte() // until the relay closes the connection
 		gone <- struct{}{}
 	})
 	r := testRelay(t)
@@ -207,30 +207,30 @@
 		m.acknowledged = true
 		at := r.now() + decide.Time(testLimit.Microseconds())
 		if id == "short" {
-			at = r.now() + 1500000 // long enough for the call to be written first
+			at = r.now() + 1500000 // 1.5 s, long enough for the call to be written first
 		}
 		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, At: at})
 		msgs = append(msgs, m)
 	}
 	if len(r.forming) != 1 {
-		t.Fatalf("%d calls", len(r.forming))
+		t.Fatalf("calls formed: got %d, want 1", len(r.forming))
 	}
 	c := r.forming[0]
 	r.gathered()
 	logAll()
-	if ids, _ := batchOf(t, <-entered); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
-		t.Errorf("in the call: %v, want the one that is waited for least at the end", ids)
+	if ids, _ := decodeBatch(t, <-entered); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
+		t.Errorf("messages in the call: got %v, want all three, with the shortest timeout last", ids)
 	}
 	told := func() {
 		var got []event
-		waitFor(t, "a happening", func() bool { got = r.in.takeAll(nil); return len(got) > 0 })
+		waitFor(t, "an event", func() bool { got = r.in.takeAll(nil); return len(got) > 0 })
 		for _, h := range got {
 			r.take(h)
 		}
 	}
 	told()
 	if len(r.events) != 1 || r.events[0].Message != msgs[0].num || r.events[0].Outcome != decide.TimedOut {
-		t.Fatalf("the short one: %+v", r.events)
+		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message", r.events)
 	}
 	cancel := func(m *message) {
 		r.act(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
@@ -238,24 +238,24 @@
 		r.events = nil
 		told()
 		if len(r.events) != 1 || r.events[0].Message != m.num || r.events[0].Outcome != decide.Cancelled {
-			t.Fatalf("%s: %+v", m.rec.ID, r.events)
+			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID, r.events)
 		}
 	}
 	cancel(msgs[1])
 	if c.ctx.Err() != nil || r.calls != 1 {
-		t.Fatalf("the call ended with a message that still wants it; %d calls", r.calls)
+		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1", r.calls)
 	}
 	cancel(msgs[2])
 	<-gone
 	if r.calls != 0 || len(ep.calls) != 0 {
-		t.Errorf("%d calls, %d at the endpoint", r.calls, len(ep.calls))
+		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0", r.calls, len(ep.calls))
 	}
 	r.pool.sweep(func(*poolConn) bool { return true })
 }
 
-// Guards a call whose messages were just taken on: it begins when all of their
-// clients have heard, and a client that leaves does not hold the others up.
-func TestBatchWaitsForItsClients(t *testing.T) {
+// Guards the start of a call whose messages were just accepted: it starts once the replies to all of their clients
+// are written. A message whose client has disconnected does not delay the others.
+func TestBatchWaitsForClientReplies(t *testing.T) {
 	r := testRelay(t)
 	r.ctx = t.Context()
 	r.wal = &wal{in: newMailbox[walOp]()}
@@ -273,14 +273,14 @@
 	c := r.forming[0]
 	r.replyWritten(qs[0], true)
 	r.replyWritten(qs[1], true)
-	if c.stop != nil {
-		t.Fatal("begun though a client has not heard")
+	if c.cancel != nil {
+		t.Fatal("call started before the reply to each client was written")
 	}
 	r.replyWritten(qs[2], false)
-	if c.stop == nil || len(c.msgs) != 2 {
-		t.Fatalf("not begun for the two that are left: %d messages", len(c.msgs))
+	if c.cancel == nil || len(c.msgs) != 2 {
+		t.Fatalf("call for the two remaining messages: not started, or got %d messages, want 2", len(c.msgs))
 	}
-	c.stop(nil)
+	c.cancel(nil)
 	var logged []string
 	for _, op := range r.wal.in.takeAll(nil) {
 		if op.rec.Kind == recAttempt {
@@ -288,28 +288,28 @@
 		}
 	}
 	if strings.Join(logged, " ") != "a b" {
-		t.Errorf("attempts logged: %v", logged)
+		t.Errorf("logged attempts: got %v, want a and b", logged)
 	}
 }
 
-// Guards an answer that comes in pieces: as long as it goes on coming it is
-// read, though its last byte is far behind its first.
-func TestBatchAnswerInPieces(t *testing.T) {
+// Guards a response that arrives in pieces: it is read as long as data keeps arriving, even if it takes longer than
+// the stall timeout in all.
+func TestBatchResponseInPieces(t *testing.T) {
 	body := `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`
-	h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if !readCall(bufio.NewReader(c)) {
 			return
 		}
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
-		pause := 3 * answerWait / 2 / time.Duration(len(answer))
+		pause := 3 * responseStallTimeout / 2 / time.Duration(len(answer))
 		for i := range len(answer) {
 			io.WriteString(c, answer[i:i+1])
 			time.Sleep(pause)
 		}
 	}))
-	told := make(chan outcome, 1)
-	newTestCall().run(h, append(testPart("a"), testPart("b")...), nil, func(_ *message, o outcome) { told <- o })
-	if o := <-told; o.err != nil || o.ends["a"].what != decide.Delivered || o.ends["b"].what != decide.Full {
-		t.Errorf("got %+v", o)
+	told := make(chan callResult, 1)
+	newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { told <- o })
+	if o := <-told; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Full {
+		t.Errorf("result: got %+v, want a delivered and b deferred", o)
 	}
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -183,7 +183,7 @@
 
 // Read notes when something came.
 func (cc *clientConn) Read(b []byte) (int, error) {
-	n, err := readOnce(cc.Conn, b)
+	n, err := readWithRetry(cc.Conn, b)
 	if n > 0 {
 		cc.heardAt.Store(int64(cc.clock.Now()))
 	}
@@ -514,7 +514,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	if n, err := unread(cc.Conn); n <= 0 || err != nil {
+	if n, err := peekSocket(cc.Conn); n <= 0 || err != nil {
 		return false
 	}
 	c.mu.Lock()
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -18,7 +18,7 @@
 func serveClients(t *testing.T, put func(*request)) (*clients, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 16)
-	c := newClients(testSet(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
+	c := newClients(parseTestConfig(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 
 func TestParsePut(t *testing.T) {
 	now := clock.Instant(1e15)
-	q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	q, err := parseTestConfig(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	now := clock.Instant(1e15)
 	for d, want := range map[string]time.Duration{"12000": 11950 * time.Millisecond, "1000": 950 * time.Millisecond,
 		"200": 190 * time.Millisecond, "0": 0} {
-		q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"), []byte("c=plain,t=acme,dest=12,d=" + d), nil}, now)
+		q, err := parseTestConfig(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"), []byte("c=plain,t=acme,dest=12,d=" + d), nil}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -255,7 +255,7 @@
 // for its answer is left alone.
 func TestHalfACommand(t *testing.T) {
 	got := make(chan *request, 1)
-	c := newClients(testSet(t), clock.System(), quietLog(), func(q *request) { got <- q }, func(*request, bool) {})
+	c := newClients(parseTestConfig(t), clock.System(), quietLog(), func(q *request) { got <- q }, func(*request, bool) {})
 	c.first, c.whole, c.quiet = 300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -182,7 +182,7 @@
 	}
 	u := stage.Commit(h.Revision, true)
 	for done := false; !done; {
-		_, done = u.Apply(listChunk, nil)
+		_, done = u.Apply(changesPerStep, nil)
 	}
 	return nil
 }
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -52,7 +52,7 @@
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			got, _ := batchOf(t, body)
+			got, _ := decodeBatch(t, body)
 			ids <- got
 			text := "["
 			for i, id := range got {
@@ -71,25 +71,25 @@
 // the others alone: that one may have had its final answer by then, or another call.
 func TestLateConnectionLeavesOutWhatIsOver(t *testing.T) {
 	addr, ids := batchTaker(t)
-	h := testPool(t).home(addr)
+	h := testPool(t).forHost(addr)
 	release := make(chan struct{})
 	h.dial = func(_ context.Context, addr string) (net.Conn, error) {
 		<-release
 		return net.Dial("tcp", addr)
 	}
 	short, off := &message{num: 1}, &message{num: 2}
-	parts := []part{{m: &message{num: 3}, rec: &record{ID: "long"}, limit: testLimit},
-		{m: off, rec: &record{ID: "off"}, limit: testLimit}, {m: short, rec: &record{ID: "short"}, limit: time.Millisecond}}
+	parts := []callItem{{message: &message{num: 3}, rec: &record{ID: "long"}, timeout: testLimit},
+		{message: off, rec: &record{ID: "off"}, timeout: testLimit}, {message: short, rec: &record{ID: "short"}, timeout: time.Millisecond}}
 	c := newTestCall()
-	told, done := make(chan outcome, 4), make(chan struct{})
+	told, done := make(chan callResult, 4), make(chan struct{})
 	go func() {
 		defer close(done)
-		c.run(h, parts, nil, func(m *message, o outcome) {
+		c.run(h, parts, nil, func(m *message, o callResult) {
 			if m == short {
-				if o.what != decide.NotSent {
+				if o.outcome != decide.NotSent {
 					t.Errorf("the short one, which never left: %+v", o)
 				}
-				if !c.takeOut(off) { // as the policy does that calls it off
+				if !c.removeMessage(off) { // as the policy does that calls it off
 					t.Error("not in time, before there is a connection")
 				}
 				close(release)
@@ -99,7 +99,7 @@
 		})
 	}()
 	<-done
-	if o := <-told; o.what != decide.Delivered || o.status != http.StatusOK {
+	if o := <-told; o.outcome != decide.Delivered || o.status != http.StatusOK {
 		t.Errorf("the call: %+v", o)
 	}
 	if got := <-ids; !slices.Equal(got, []string{"long"}) {
@@ -108,7 +108,7 @@
 	if len(told)+len(ids) > 0 {
 		t.Error("more than one call, or outcome")
 	}
-	if c.takeOut(parts[0].m) {
+	if c.removeMessage(parts[0].message) {
 		t.Error("taken out of a call that is written")
 	}
 }
@@ -117,7 +117,7 @@
 // far is given up, and the rest goes by another connection.
 func TestOverBetweenFirstAndLastByte(t *testing.T) {
 	addr, ids := batchTaker(t)
-	h := testPool(t).home(addr)
+	h := testPool(t).forHost(addr)
 	c := newTestCall()
 	over := &message{num: 1}
 	dials := 0
@@ -127,16 +127,16 @@
 			return conn, err
 		}
 		return &hookedConn{conn.(*net.TCPConn), func() {
-			if !c.takeOut(over) {
+			if !c.removeMessage(over) {
 				t.Error("the last byte is not written yet")
 			}
 		}}, nil
 	}
-	parts := []part{{m: over, rec: &record{ID: "over"}, limit: testLimit}, {m: &message{num: 2}, rec: &record{ID: "a"}, limit: testLimit},
-		{m: &message{num: 3}, rec: &record{ID: "b"}, limit: testLimit}}
-	told := make(chan outcome, 1)
-	c.run(h, parts, nil, func(_ *message, o outcome) { told <- o })
-	if o := <-told; o.ends["a"].what != decide.Delivered || o.ends["b"].what != decide.Delivered || len(o.ends) != 2 {
+	parts := []callItem{{message: over, rec: &record{ID: "over"}, timeout: testLimit}, {message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit},
+		{message: &message{num: 3}, rec: &record{ID: "b"}, timeout: testLimit}}
+	told := make(chan callResult, 1)
+	c.run(h, parts, nil, func(_ *message, o callResult) { told <- o })
+	if o := <-told; o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Delivered || len(o.itemResults) != 2 {
 		t.Errorf("the call: %+v", o)
 	}
 	if got := <-ids; !slices.Equal(got, []string{"a", "b"}) || len(ids) > 0 {
@@ -144,9 +144,9 @@
 	}
 	// Where it is the only one nothing goes out at all.
 	c, dials = newTestCall(), 0
-	told = make(chan outcome, 1)
-	c.run(h, parts[:1], nil, func(_ *message, o outcome) { told <- o })
-	if o := <-told; o.what != decide.NotSent || len(ids) > 0 {
+	told = make(chan callResult, 1)
+	c.run(h, parts[:1], nil, func(_ *message, o callResult) { told <- o })
+	if o := <-told; o.outcome != decide.NotSent || len(ids) > 0 {
 		t.Errorf("alone: %+v", o)
 	}
 }
@@ -160,8 +160,8 @@
 	m.acknowledged = true
 	m.call = newTestCall()
 	m.call.msgs = []*message{m}
-	r.ended(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, endHandedBack)
-	if m.call.commit([]part{{m: m}}, r.clock.Now()) {
+	r.ended(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, noticeHandedBack)
+	if m.call.commitLastByte([]callItem{{message: m}}, r.clock.Now()) {
 		t.Error("its call may still be written")
 	}
 }
@@ -173,7 +173,7 @@
 		"never ending": "HTTP/1.1 500 Internal Server Error\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan struct{})
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
 				if readCall(in) {
 					io.WriteString(c, answer)
@@ -186,9 +186,9 @@
 				limit = 50 * time.Millisecond
 			}
 			told := 0
-			newTestCall().run(h, []part{{rec: &record{ID: "m"}, limit: limit}}, nil, func(_ *message, o outcome) {
+			newTestCall().run(h, []callItem{{rec: &record{ID: "m"}, timeout: limit}}, nil, func(_ *message, o callResult) {
 				told++
-				if o.what != decide.TimedOut && o.what != decide.Errored {
+				if o.outcome != decide.TimedOut && o.outcome != decide.Errored {
 					t.Errorf("got %+v", o)
 				}
 				select {
@@ -215,7 +215,7 @@
 		{"503 Service Unavailable\r\n", false, false}, {"503 Service Unavailable\r\nConnection: close\r\nX-Server-Load: x0=0,x1=3\r\n", false, false},
 		{"503 Service Unavailable\r\nConnection: close\r\nSlots-Taken: 1\r\n", false, false},
 		{"429 Too Many Requests\r\nConnection: close\r\nRetry-After: 1\r\n", false, false}} {
-		h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+		h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 			in := bufio.NewReader(c)
 			if x.used && readCall(in) {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -225,10 +225,10 @@
 			}
 		}))
 		if x.used {
-			newTestCall().made(t, h, &record{ID: "before"}, testLimit)
-			settled(h)
+			newTestCall().runForResult(t, h, &record{ID: "before"}, testLimit)
+			waitReusable(h)
 		}
-		if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.crowded != x.want {
+		if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.tooManyConns != x.want {
 			t.Errorf("%q, connection used before %v: %+v", x.head, x.used, o)
 		}
 	}
@@ -377,9 +377,9 @@
 		r.calls = 1
 		m := r.newMessage(&record{ID: "m", Class: "once"})
 		m.acknowledged, m.tries, m.call = true, 1, c
-		c.msgs, c.out = []*message{m}, 1
-		r.returned(c, m, &outcome{what: decide.TimedOut, err: context.DeadlineExceeded})
-		r.returned(c, nil, &outcome{what: late, settled: late == decide.Delivered, status: 200})
+		c.msgs, c.unfinished = []*message{m}, 1
+		r.returned(c, m, &callResult{outcome: decide.TimedOut, err: context.DeadlineExceeded})
+		r.returned(c, nil, &callResult{outcome: late, settled: late == decide.Delivered, status: 200})
 		if len(r.events) != 1 || r.events[0].Outcome != decide.TimedOut || r.calls != 0 || len(c.ep.calls) != 0 || m.over {
 			t.Errorf("%d events, %d calls, over %v", len(r.events), r.calls, m.over)
 		}
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	dialPause     = 10 * time.Millisecond  // after a dial that failed on this machine; doubles
-	dialPauseMost = 160 * time.Millisecond // the longest such pause
-	dialElsewhere = 300 * time.Millisecond // where other endpoints may be reachable, try those after so long
+	minDialRetryDelay = 10 * time.Millisecond // after a dial that failed on this machine; doubles
+	maxDialRetryDelay = 160 * time.Millisecond
+	// dialRetryBudget is the total delay after which another endpoint is tried, if one may be reachable.
+	dialRetryBudget = 300 * time.Millisecond
 )
 
-// getPatiently gives a connection like get. Where one cannot be made for a
-// reason on this machine it tries again, so that a moment's trouble uses up
-// neither attempts nor processor time: until ctx ends where the machine has run
-// out of something, and for dialElsewhere where another endpoint may be
-// reachable or the pool is full.
-func (h *home) getPatiently(ctx context.Context) (*poolConn, error) {
+// getWithRetry returns a connection like get. If no connection can be made for a reason on this machine it retries,
+// so that a short failure uses up neither attempts nor processor time: until ctx ends if the machine has run out of a
+// resource, and for dialRetryBudget if another endpoint may be reachable or the pool is full.
+func (h *hostPool) getWithRetry(ctx context.Context) (*poolConn, error) {
 	conn, err := h.get(ctx)
 	waited := time.Duration(0)
-	again := func() bool { return isExhausted(err) || (err == errNoRoom || isLocal(err)) && waited < dialElsewhere }
-	for pause := dialPause; err != nil && again(); pause = min(2*pause, dialPauseMost) {
-		sleep(ctx, pause)
+	shouldRetry := func() bool {
+		return isResourceExhausted(err) || (err == errPoolFull || isLocalFailure(err)) && waited < dialRetryBudget
+	}
+	for delay := minDialRetryDelay; err != nil && shouldRetry(); delay = min(2*delay, maxDialRetryDelay) {
+		sleep(ctx, delay)
 		if ctx.Err() != nil {
 			break
 		}
-		waited += pause
+		waited += delay
 		conn, err = h.get(ctx)
 	}
 	return conn, err
 }
 
-// notConnected maps the error of a call for which no byte, or not its last one,
-// has left. Trouble on this machine is no evidence against the endpoint.
-func notConnected(err error) decide.Outcome {
-	if isLocal(err) || isTransient(err) {
+// unsentOutcome gives the outcome of a call whose last byte was not written because of err. A failure on this machine
+// is no evidence against the endpoint.
+func unsentOutcome(err error) decide.Outcome {
+	if isLocalFailure(err) || isTransient(err) {
 		return decide.NotSent
 	}
 	return decide.NoConnect
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -23,198 +23,205 @@
 // Member is an endpoint in discovery's list.
 type Member = membership.Member
 
-// List is discovery's list, or what changed in it.
+// List is a full list of discovery or a delta to one.
 type List = membership.List
 
+// In the names below, "known" refers to a deadline of the platform: from then on the relay is held to know what
+// discovery has at that time, whether the relay has requested and received it or not.
 const (
-	listPath    = "/registry/instances"
-	noticePath  = "/reports"
-	discSilence = 3500 * time.Millisecond // a watch says something every 2 s
-	discAnswer  = time.Second             // the agent answers at once, or is down
-	discPause   = 200 * time.Millisecond  // the round of a small fleet
-	discMost    = 1600 * time.Millisecond // its longest pause is about this
-	discTurn    = 60 * time.Millisecond   // discovery is thought to take this for one relay's request
-	discQueue   = 3 * time.Second         // no answer is waited for longer, however large the fleet
-	discRound   = 30 * time.Second        // nor does a round last longer
-	discTold    = 4 * time.Second         // after a move word counts as told so soon, whether it was asked for or not
-	discDue     = 6 * time.Second         // the same after the last word of a watch that has fallen silent
-	discRest    = 2900 * time.Millisecond // no pause is longer than this by half: with an answer's time it is inside discDue
-	askMost     = 3                       // requests without an answer that are open beside each other
-	answerSkip  = 4 << 20                 // bytes of an answer to a notice that are read past
+	listPath             = "/registry/instances"
+	noticePath           = "/reports"
+	watchSilenceTimeout  = 3500 * time.Millisecond // an open watch sends at least a heartbeat every 2 s
+	minResponseWait      = time.Second             // an agent that is up responds at once
+	minDiscoveryRound    = 200 * time.Millisecond  // the round of a small fleet
+	minBackoffCeiling    = 1600 * time.Millisecond // the longest delay of a small fleet, before jitter
+	discoveryServiceTime = 60 * time.Millisecond   // estimated time that discovery takes for one relay's request
+	maxResponseWait      = 3 * time.Second         // however large the fleet
+	maxDiscoveryRound    = 30 * time.Second        // however large the fleet
+	knownAfterMove       = 4 * time.Second         // deadline after a start or a change of discovery's address
+	knownAfterSilence    = 6 * time.Second         // deadline after the last data of a watch that has become silent
+	// maxBackoffCeiling is the longest delay before jitter, which adds up to a half. With the time for a response the
+	// delay still ends within knownAfterSilence.
+	maxBackoffCeiling = 2900 * time.Millisecond
+	maxOpenRequests   = 3       // requests without a response that are open at the same time
+	maxDiscardedBytes = 4 << 20 // bytes of the response to a notice that are read and discarded
 )
 
-// newPlainClient makes a client for the agent on this machine: few kept
-// connections, no proxy, no second protocol.
-func newPlainClient(conns int, answer time.Duration) *http.Client {
+// newAgentClient creates an HTTP client for the agent on this machine: few kept connections, no proxy, HTTP/1 only.
+func newAgentClient(conns int, headerTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:           (&net.Dialer{Timeout: discAnswer}).DialContext,
+			DialContext:           (&net.Dialer{Timeout: minResponseWait}).DialContext,
 			MaxIdleConnsPerHost:   conns,
 			MaxConnsPerHost:       conns,
-			ResponseHeaderTimeout: answer,
+			ResponseHeaderTimeout: headerTimeout,
 			IdleConnTimeout:       30 * time.Second,
 			DisableCompression:    true,
-			Protocols:             http1(),
+			Protocols:             http1Only(),
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-func http1() *http.Protocols {
+func http1Only() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	return p
 }
 
-// discovery keeps a watch on the list and hands on its news.
+// discovery is the client of the discovery service. It keeps a watch on the list and passes on the full list and its
+// changes.
 type discovery struct {
-	addr    string
-	base    string           // of the address that is watched now
-	known   int64            // the revision of a list had before it was first asked; negative for none
-	moves   *mailbox[string] // further addresses, each in the place of the one before
-	log     *slog.Logger
-	client  *http.Client
-	silence time.Duration
-	answer  time.Duration // how long an answer is waited for
-	round   time.Duration // in which all relays together ask once again
-	grace   time.Duration // in which a watch that has ended is opened anew
-	clock   clock.Clock
-	due     clock.Instant // when further word counts as told, whether it comes or not
-	served  clock.Instant // since when the watch is answered
-	failed  int           // refusals in a row
-	mute    int           // requests in a row that had no answer
-	begin   beginList
+	addr           string
+	baseURL        string           // of the address that is watched now
+	knownRevision  int64            // revision of the list that the relay starts with; negative for none
+	addresses      *mailbox[string] // new addresses of discovery, each replacing the one before
+	log            *slog.Logger
+	client         *http.Client
+	silenceTimeout time.Duration
+	responseWait   time.Duration // wait for the first response before another request is sent
+	round          time.Duration // time in which each relay of the fleet can make one request
+	reopenGrace    time.Duration // time in which a watch that has ended is to be opened again
+	clock          clock.Clock
+	knownBy        clock.Instant // the relay is held to know later changes from this time on
+	watchOpenedAt  clock.Instant // when the response to the current watch began
+	refusals       int           // consecutive refused requests
+	unanswered     int           // consecutive requests without a response
+	beginList      beginList
 }
 
-// beginList begins a list. It returns once the one before it is in force, or with ctx's end.
+// beginList begins to receive a list. It returns once the list before it is in force, or when ctx ends.
 type beginList func(ctx context.Context) (membership.Receiver, error)
 
-// newDiscovery makes the discovery of one of so many relays; known is the
-// revision of the list that this one has already, or negative. Where relays are many, what each does by
-// itself adds up: all start or lose their watch at one moment, and if each asks
-// at once, or at a steady pace, or gives an answer up that is still in the
-// queue, discovery stays overloaded for good. A round is the time that it takes
-// for one request of each.
-func newDiscovery(addr string, relays int, known int64, clk clock.Clock, log *slog.Logger, begin beginList) *discovery {
-	all := time.Duration(relays) * discTurn
-	answer := min(max(all, discAnswer), discQueue)
-	return &discovery{addr: addr, known: known, clock: clk, moves: newMailbox[string](), log: log, client: newPlainClient(4, 0),
-		silence: discSilence, answer: answer, round: min(max(all, discPause), discRound), begin: begin}
+// newDiscovery creates the discovery client of one relay in a fleet of the given size. knownRevision is the revision
+// of the list that this relay already has, or negative. In a large fleet the requests of all relays add up: all of
+// them start, or lose their watch, at the same moment. If each then sends a request at once, or at a fixed interval,
+// or gives up a request that is still queued, discovery stays overloaded permanently. Delays therefore depend on the
+// round, the time that discovery takes for one request of each relay.
+func newDiscovery(addr string, relays int, knownRevision int64, clk clock.Clock, log *slog.Logger,
+	begin beginList) *discovery {
+	fleetTime := time.Duration(relays) * discoveryServiceTime
+	responseWait := min(max(fleetTime, minResponseWait), maxResponseWait)
+	return &discovery{addr: addr, knownRevision: knownRevision, clock: clk, addresses: newMailbox[string](), log: log,
+		client: newAgentClient(4, 0), silenceTimeout: watchSilenceTimeout, responseWait: responseWait,
+		round: min(max(fleetTime, minDiscoveryRound), maxDiscoveryRound), beginList: begin}
 }
 
-// pause is how long to leave discovery alone after so many failures in a row;
-// u is a draw from [0, 1). The first lasts a round at most, in which the requests
-// of the others, that failed in step, are worked off. It doubles up to a round and a
-// half, and never beyond discRest, however large the fleet: discovery may come back
-// right behind a refusal, and what it has counts as told 6 s later.
-func (d *discovery) pause(failed int, u float64) time.Duration {
-	most := min(max(d.round*3/2, discMost), discRest)
-	if failed < 8 { // more doublings pass it anyway
-		most = min(min(d.round, discTold*5/8)<<max(failed-1, 0), most)
-	}
-	return time.Duration((0.5 + u) * float64(most))
+// backoffDelay is the delay before the next request after a number of consecutive refusals; random is drawn from [0,
+// 1) and sets the jitter. The first delay lasts at most a round, in which discovery works off the requests of the
+// other relays, which failed at the same time. The delay doubles up to one and a half rounds, but never exceeds
+// maxBackoffCeiling before jitter, however large the fleet: discovery may recover right after a refusal, and the
+// relay is held to know its state 6 s later.
+func (d *discovery) backoffDelay(refusals int, random float64) time.Duration {
+	ceiling := min(max(d.round*3/2, minBackoffCeiling), maxBackoffCeiling)
+	if refusals < 8 { // further doublings exceed the ceiling in any case
+		ceiling = min(min(d.round, knownAfterMove*5/8)<<max(refusals-1, 0), ceiling)
+	}
+	return time.Duration((0.5 + random) * float64(ceiling))
 }
 
 // run watches one address after another until ctx ends.
-func (d *discovery) run(ctx context.Context) { atEach(ctx, d.addr, d.moves, d.at) }
-
-// at watches one address. Versions are that address's own, so it begins with
-// the whole list, but at the start of a relay that has one already: there a watch
-// brings what is new. It is asked for at once, however many relays start: what
-// the agent on this machine has counts as told, so a relay that waited for its
-// turn would send to endpoints that it is held to know as draining. Those that
-// are refused then are spread by their pauses. What is heard is passed on with
-// no delay: the grace after word of a drain counts from when discovery wrote it.
-func (d *discovery) at(ctx context.Context, addr string) {
-	d.base = "http://" + addr
+func (d *discovery) run(ctx context.Context) { atEach(ctx, d.addr, d.addresses, d.watchAddress) }
+
+// watchAddress watches one address until ctx ends. Revisions are valid at that address only, so it requests the full
+// list first, except at the start of a relay that already has a list: that relay opens a watch from its known
+// revision. The first request is sent at once, however many relays start at the same time: a relay that waited for
+// its turn would send to endpoints that it is held to know as draining. Relays whose request is refused are spread by
+// their backoff. Changes are passed on without delay, since the drain grace counts from the time at which discovery
+// wrote the change.
+func (d *discovery) watchAddress(ctx context.Context, addr string) {
+	d.baseURL = "http://" + addr
 	defer d.client.CloseIdleConnections()
-	rev, whole := int64(0), false
-	if d.known >= 0 {
-		rev, whole, d.known = d.known, true, -1
+	revision, hasList := int64(0), false
+	if d.knownRevision >= 0 {
+		revision, hasList, d.knownRevision = d.knownRevision, true, -1
 	}
-	d.due = d.clock.Now().Add(discTold)
-	d.failed, d.mute = 0, 0
-	older := clock.Instant(0) // since when only lists from before rev come
+	d.knownBy = d.clock.Now().Add(knownAfterMove)
+	d.refusals, d.unanswered = 0, 0
+	staleSince := clock.Instant(0) // since when all received lists are older than revision; zero if they are not
 	for ctx.Err() == nil {
-		heard, err := false, error(nil)
-		if !whole {
-			var l *fetched
-			if l, err = d.fetch(ctx, rev); err == nil && l.Revision < rev {
-				if older.IsZero() {
-					older = d.clock.Now()
+		received, err := false, error(nil)
+		if !hasList {
+			var list *fetchedList
+			if list, err = d.fetch(ctx, revision); err == nil && list.Revision < revision {
+				if staleSince.IsZero() {
+					staleSince = d.clock.Now()
 				}
-				if clock.Since(d.clock, older) < discTold { // later on it is taken for one that counts anew
-					err = fmt.Errorf("discovery: %w", errOlder)
-					l.to.Abort()
+				// After knownAfterMove the older list is accepted: discovery has restarted its revisions.
+				if clock.Since(d.clock, staleSince) < knownAfterMove {
+					err = fmt.Errorf("discovery: %w", errStaleList)
+					list.receiver.Abort()
 				}
 			}
 			if err == nil {
-				rev, whole, older = l.Revision, true, 0
-				l.to.End(l.Revision, true)
+				revision, hasList, staleSince = list.Revision, true, 0
+				list.receiver.End(list.Revision, true)
 			}
 		}
-		if whole {
-			rev, whole, heard, err = d.watch(ctx, rev)
+		if hasList {
+			revision, hasList, received, err = d.watch(ctx, revision)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		pause := time.Duration(0)
-		if heard {
-			d.failed, d.mute = 0, 0
+		delay := time.Duration(0)
+		if received {
+			d.refusals, d.unanswered = 0, 0
 		}
 		switch {
-		case heard && clock.Since(d.clock, d.served) >= discAnswer: // it served for a while: what the agent has counts all the same
-			pause = time.Duration(rand.Float64() * float64(min(d.grace, d.round)))
-		case isSilent(err): // what is asked while discovery is down is answered as it returns
-			d.mute++
+		// The watch worked for a while. The relay is held to know further changes, so it reopens the watch within
+		// the grace.
+		case received && clock.Since(d.clock, d.watchOpenedAt) >= minResponseWait:
+			delay = time.Duration(rand.Float64() * float64(min(d.reopenGrace, d.round)))
+		case isSilence(err): // no delay: a request made while discovery is down is served as soon as it recovers
+			d.unanswered++
 		default:
-			d.failed++
-			pause = d.rest(d.failed, rand.Float64())
+			d.refusals++
+			delay = d.refusalDelay(d.refusals, rand.Float64())
 		}
-		if !older.IsZero() { // the next list is to be there when older ones count
-			pause = min(pause, max(discTold-clock.Since(d.clock, older), 0)+discPause)
+		if !staleSince.IsZero() { // the next list must have arrived by the time when older lists are accepted
+			delay = min(delay, max(knownAfterMove-clock.Since(d.clock, staleSince), 0)+minDiscoveryRound)
 		}
-		d.log.Warn("discovery: watch over", "revision", rev, "whole", whole, "pause_ms", pause.Milliseconds(), "err", err)
-		sleep(ctx, pause)
+		d.log.Warn("discovery: watch ended", "revision", revision, "whole", hasList,
+			"pause_ms", delay.Milliseconds(), "err", err)
+		sleep(ctx, delay)
 	}
 }
 
-// rest is the pause after so many refusals in a row. As long as word does not count
-// as told there is another try before it does.
-func (d *discovery) rest(failed int, u float64) time.Duration {
-	pause := d.pause(failed, u)
-	if left := clock.Until(d.clock, d.due); left > 0 {
-		pause = min(pause, max(time.Duration((0.25+u/2)*float64(left)), discPause))
+// refusalDelay is the delay after a number of consecutive refusals. Before knownBy it is short enough for another
+// request to be sent by then.
+func (d *discovery) refusalDelay(refusals int, random float64) time.Duration {
+	delay := d.backoffDelay(refusals, random)
+	if left := clock.Until(d.clock, d.knownBy); left > 0 {
+		delay = min(delay, max(time.Duration((0.25+random/2)*float64(left)), minDiscoveryRound))
 	}
-	return pause
+	return delay
 }
 
 var (
-	errSilent = errors.New("silent")
-	errOlder  = errors.New("a list from before the one that is known")
+	errSilence   = errors.New("connection silent for too long")
+	errStaleList = errors.New("received list is older than the known one")
 )
 
-// isSilent reports whether nothing was heard for the time that was allowed. What a
-// system call says at once is none of that, also where its errno counts as a timeout.
-func isSilent(err error) bool {
+// isSilence reports whether err means that nothing was received within a timeout of the relay. Errors of system calls
+// do not count, even those whose errno is a timeout: they are known at once.
+func isSilence(err error) bool {
 	if _, ok := errnoOf(err); ok {
 		return false
 	}
-	var ne net.Error
-	return errors.Is(err, errSilent) || errors.As(err, &ne) && ne.Timeout()
+	var netErr net.Error
+	return errors.Is(err, errSilence) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// wait is how long requests are left alone before another goes out beside them,
-// after so many that had no answer. The first time another try must still fit in
-// before word counts as told: the request may be lost. Discovery that is down answers
-// what is open as it returns, or has forgotten it: so what is open stays open, and the
-// next one goes out in time for word to be told within 6 s of its return.
-func (d *discovery) wait(mute int, u float64) time.Duration {
-	if mute > 0 {
-		return time.Duration((0.75 + u/2) * float64(min(max(d.answer, d.round), discSilence)))
+// nextRequestDelay is the time after which another request is sent while earlier ones stay open, after a number of
+// consecutive requests without a response. The delay after the first request leaves time for another one before
+// knownBy: the first may be lost. If discovery is down it serves the open requests as it recovers, or has lost them;
+// so they stay open, and another request follows soon enough for the list to be known within 6 s of the recovery.
+func (d *discovery) nextRequestDelay(unanswered int, random float64) time.Duration {
+	if unanswered > 0 {
+		return time.Duration((0.75 + random/2) * float64(min(max(d.responseWait, d.round), watchSilenceTimeout)))
 	}
-	return min(d.answer, max(clock.Until(d.clock, d.due)/2, discAnswer))
+	return min(d.responseWait, max(clock.Until(d.clock, d.knownBy)/2, minResponseWait))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -226,365 +233,366 @@
 	}
 }
 
-// opened is a request, with its answer once the head of that has come.
-type opened struct {
-	resp *http.Response
-	ctx  context.Context
-	stop context.CancelCauseFunc
+// listRequest is a request for the list or a watch, with its response once the response's header has arrived.
+type listRequest struct {
+	resp   *http.Response
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 }
 
-// end gives an answer back, and its connection with it unless it was read to its end.
-func (o *opened) end() {
-	if o.resp != nil {
-		o.resp.Body.Close()
+// close closes the response, and its connection unless the response was read to its end.
+func (r *listRequest) close() {
+	if r.resp != nil {
+		r.resp.Body.Close()
 	}
-	o.stop(nil)
+	r.cancel(nil)
 }
 
-// statusError is an answer other than 200.
+// statusError is the status of a response other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// open asks until an answer begins. Where none does a further request goes out beside
-// those that are open, up to askMost of them, and the first answer counts: one queue for
-// all relays is worked off in its order, so a request that were given up and made again
-// would only lose its place, and one that was forgotten at the other end must not be the
-// only one. An error tells that a request was refused and no other is open.
-func (d *discovery) open(ctx context.Context, url string) (*opened, error) {
+// openRequest sends requests until a response begins. If none does, it sends another request while the earlier ones
+// stay open, up to maxOpenRequests of them, and uses the first response. Discovery serves the requests of all relays
+// in one queue, so a request that is cancelled and sent again only loses its place; and a request that discovery has
+// lost must not be the only one. An error means that a request was refused and no other request is open.
+func (d *discovery) openRequest(ctx context.Context, url string) (*listRequest, error) {
 	type result struct {
-		o   *opened
-		err error
+		request *listRequest
+		err     error
 	}
-	results, left := make(chan result), make(chan struct{})
-	defer close(left)
-	var out []*opened
+	results, returned := make(chan result), make(chan struct{})
+	defer close(returned)
+	var open []*listRequest
 	defer func() {
-		for _, o := range out {
-			o.stop(nil)
+		for _, request := range open {
+			request.cancel(nil)
 		}
 	}()
-	ask := func() error {
-		o := &opened{}
-		o.ctx, o.stop = context.WithCancelCause(ctx)
-		req, err := http.NewRequestWithContext(o.ctx, http.MethodGet, url, nil)
+	start := func() error {
+		request := &listRequest{}
+		request.ctx, request.cancel = context.WithCancelCause(ctx)
+		req, err := http.NewRequestWithContext(request.ctx, http.MethodGet, url, nil)
 		if err != nil {
-			o.stop(nil)
+			request.cancel(nil)
 			return err
 		}
-		out = append(out, o)
+		open = append(open, request)
 		go func() {
 			resp, err := d.client.Do(req)
-			if o.resp = resp; err == nil && resp.StatusCode != http.StatusOK {
+			if request.resp = resp; err == nil && resp.StatusCode != http.StatusOK {
 				err = statusError(resp.StatusCode)
 			}
 			select {
-			case results <- result{o, err}:
-			case <-left:
-				o.end()
+			case results <- result{request, err}:
+			case <-returned:
+				request.close()
 			}
 		}()
 		return nil
 	}
-	if err := ask(); err != nil {
+	if err := start(); err != nil {
 		return nil, err
 	}
-	next := time.NewTimer(d.wait(d.mute, rand.Float64()))
+	next := time.NewTimer(d.nextRequestDelay(d.unanswered, rand.Float64()))
 	defer next.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-next.C:
-			d.mute++
-			if len(out) == askMost {
-				out[0].stop(errSilent)
-				out = out[1:]
+			d.unanswered++
+			if len(open) == maxOpenRequests {
+				open[0].cancel(errSilence)
+				open = open[1:]
 			}
-			if err := ask(); err != nil {
+			if err := start(); err != nil {
 				return nil, err
 			}
-			wait := d.wait(d.mute, rand.Float64())
-			next.Reset(wait)
-			d.log.Warn("discovery: no answer, asked once more beside", "open", len(out), "next_ms", wait.Milliseconds())
-		case r := <-results:
-			at := slices.Index(out, r.o)
-			if at >= 0 {
-				out = slices.Delete(out, at, at+1)
+			delay := d.nextRequestDelay(d.unanswered, rand.Float64())
+			next.Reset(delay)
+			d.log.Warn("discovery: no response, sent another request", "open", len(open),
+				"next_ms", delay.Milliseconds())
+		case res := <-results:
+			i := slices.Index(open, res.request)
+			if i >= 0 {
+				open = slices.Delete(open, i, i+1)
 			}
-			if at >= 0 && r.err == nil {
-				return r.o, nil
+			if i >= 0 && res.err == nil {
+				return res.request, nil
 			}
-			r.o.end()
-			if at < 0 {
-				continue // stopped to make room
+			res.request.close()
+			if i < 0 {
+				continue // cancelled above because of maxOpenRequests
 			}
-			if len(out) == 0 {
-				return nil, r.err
+			if len(open) == 0 {
+				return nil, res.err
 			}
-			d.failed++ // another may still be answered
-			next.Reset(d.rest(d.failed, rand.Float64()))
+			d.refusals++ // another open request may still get a response
+			next.Reset(d.refusalDelay(d.refusals, rand.Float64()))
 		}
 	}
 }
 
-// fetched is a whole list that was read and is neither ended nor aborted.
-type fetched struct {
+// fetchedList is a full list that was read; its receiver has seen neither End nor Abort.
+type fetchedList struct {
 	membership.Header
-	to membership.Receiver
+	receiver membership.Receiver
 }
 
-// fetch asks for the whole list; rev is that of the one that is known. It has as long as
-// it goes on.
-func (d *discovery) fetch(ctx context.Context, rev int64) (*fetched, error) {
-	o, err := d.open(ctx, d.base+listPath)
+// fetch requests the full list; revision is that of the known list. The list may take any time as long as data keeps
+// arriving.
+func (d *discovery) fetch(ctx context.Context, revision int64) (*fetchedList, error) {
+	request, err := d.openRequest(ctx, d.baseURL+listPath)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: list: %w", err)
 	}
-	defer o.end()
-	to, err := d.begin(o.ctx)
+	defer request.close()
+	receiver, err := d.beginList(request.ctx)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: list: %w", err)
 	}
-	quiet := time.AfterFunc(d.silence, func() { o.stop(errSilent) })
-	defer quiet.Stop()
-	h, err := membership.Read(membership.Paced(o.resp.Body, func() { quiet.Reset(d.silence) }), false, binding(to, rev))
-	if cause := context.Cause(o.ctx); err != nil && cause != nil {
+	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
+	defer silence.Stop()
+	header, err := membership.Read(membership.Paced(request.resp.Body, func() { silence.Reset(d.silenceTimeout) }),
+		false, forwardEntries(receiver, revision))
+	if cause := context.Cause(request.ctx); err != nil && cause != nil {
 		err = cause
 	}
-	if err == nil && !h.Complete {
-		err = errors.New("the whole list was asked for, a part came")
+	if err == nil && !header.Complete {
+		err = errors.New("received a delta in response to a request for the full list")
 	}
 	if err != nil {
-		to.Abort()
+		receiver.Abort()
 		return nil, fmt.Errorf("discovery: list: %w", err)
 	}
-	return &fetched{h, to}, nil
+	return &fetchedList{header, receiver}, nil
 }
 
-// binding hands entries on. Word of a drain binds in a list that is no older than rev.
-func binding(to membership.Receiver, rev int64) func(*membership.Header, *membership.Entry) error {
+// forwardEntries returns a function that passes entries on to the receiver. Drains in a list whose revision is at
+// least the given one take effect at once, before the list is complete.
+func forwardEntries(receiver membership.Receiver, revision int64) func(*membership.Header, *membership.Entry) error {
 	return func(h *membership.Header, e *membership.Entry) error {
-		return to.Entry(e, h.HasRevision && h.Revision >= rev)
+		return receiver.Entry(e, h.HasRevision && h.Revision >= revision)
 	}
 }
 
-// watch follows the changes after a version. whole tells whether the list is
-// still known up to the version that it returns; after a line that cannot be
-// read it is not, and the whole list must be had again. heard tells that
-// discovery took the watch.
-func (d *discovery) watch(ctx context.Context, from int64) (rev int64, whole, heard bool, err error) {
-	o, err := d.open(ctx, d.base+listPath+"?watch=1&from="+strconv.FormatInt(from, 10))
+// watch follows the changes after a revision. listKnown is whether the list is still known up to the returned
+// revision; after an invalid line it is not, and the full list must be fetched again. received is whether the watch
+// was accepted and has sent data.
+func (d *discovery) watch(ctx context.Context, from int64) (revision int64, listKnown, received bool, err error) {
+	request, err := d.openRequest(ctx, d.baseURL+listPath+"?watch=1&from="+strconv.FormatInt(from, 10))
 	if err != nil {
-		// One that is overloaded says nothing of the version, and asking it for
-		// the whole list besides would double what it has to do.
+		// The status of an overloaded discovery says nothing about the revision, and requesting the full list in
+		// addition would double its load.
 		var status statusError
 		return from, !errors.As(err, &status) || status >= 500, false, fmt.Errorf("discovery: watch: %w", err)
 	}
-	defer o.end()
-	d.served = d.clock.Now()
-	quiet := time.AfterFunc(d.silence, func() { o.stop(errSilent) })
-	defer quiet.Stop()
-	lines := membership.NewLines(o.resp.Body, func() {
-		quiet.Reset(d.silence)
-		d.due = d.clock.Now().Add(discDue)
-		if !heard {
-			d.log.Info("discovery: watching", "revision", from)
+	defer request.close()
+	d.watchOpenedAt = d.clock.Now()
+	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
+	defer silence.Stop()
+	lines := membership.NewLines(request.resp.Body, func() {
+		silence.Reset(d.silenceTimeout)
+		d.knownBy = d.clock.Now().Add(knownAfterSilence)
+		if !received {
+			d.log.Info("discovery: watch established", "revision", from)
 		}
-		heard = true
+		received = true
 	})
-	for rev = from; err == nil; {
-		first := !heard
-		var list bool
-		if list, err = lines.Next(); err != nil {
+	for revision = from; err == nil; {
+		first := !received
+		var isList bool
+		if isList, err = lines.Next(); err != nil {
 			break
 		}
-		if !list && !first { // nothing is new, which only the start waits to hear
+		if !isList && !first { // only the relay's start waits for a heartbeat
 			continue
 		}
-		to, err := d.begin(o.ctx)
+		receiver, err := d.beginList(request.ctx)
 		if err != nil {
-			return rev, true, heard, fmt.Errorf("discovery: %w", err)
+			return revision, true, received, fmt.Errorf("discovery: %w", err)
 		}
-		quiet.Reset(d.silence) // it may have waited for the list before this one
-		if !list {
-			to.End(rev, false)
+		silence.Reset(d.silenceTimeout) // beginList may have waited for the list before this one
+		if !isList {
+			receiver.End(revision, false)
 			continue
 		}
-		h, err := membership.Read(lines, false, binding(to, rev))
-		if err == nil && h.Revision < rev {
-			err = errOlder
+		header, err := membership.Read(lines, false, forwardEntries(receiver, revision))
+		if err == nil && header.Revision < revision {
+			err = errStaleList
 		}
 		if err == nil {
-			rev = h.Revision
-			to.End(h.Revision, h.Complete)
+			revision = header.Revision
+			receiver.End(header.Revision, header.Complete)
 			continue
 		}
-		to.Abort()
+		receiver.Abort()
 		if torn := lines.Torn(); torn == nil {
-			return rev, false, heard, fmt.Errorf("discovery: %w", err)
+			return revision, false, received, fmt.Errorf("discovery: %w", err)
 		}
 	}
-	if cause := context.Cause(o.ctx); cause != nil {
+	if cause := context.Cause(request.ctx); cause != nil {
 		err = cause
 	}
-	return rev, true, heard, fmt.Errorf("discovery: %w", err)
+	return revision, true, received, fmt.Errorf("discovery: %w", err)
 }
 
-// Words for the ends that a notice tells.
+// Outcomes in a notice.
 const (
-	endGivenUp    = "given_up"
-	endHandedBack = "handed_back"
+	noticeGivenUp    = "given_up"
+	noticeHandedBack = "handed_back"
 )
 
-// notice tells the platform how a message ended.
+// notice tells the platform's agent how a message ended.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms,omitempty"`
 
-	until clock.Instant // the end of the message's time
+	deadline clock.Instant // of the message
 }
 
-// The rule gives a notice 300 ms past the message's time, and most are due at
-// that time. The agent is on this machine and answers at once: what has no
-// answer after noticeWait goes out again beside the try that waits, on a new
-// connection, since repeats are harmless and the one that is lost costs the
-// message.
+// A notice must be confirmed at most 300 ms after the message's deadline, and most notices are sent at that deadline.
+// The agent is on this machine and responds at once. A notice without a response after noticeResendDelay is therefore
+// sent again on a new connection while the first try stays open: repeats are harmless, whereas a lost notice costs
+// the message.
 const (
-	noticeBatch = 64
-	noticeConns = 4                     // tries out at once
-	noticeWait  = 50 * time.Millisecond // from a try to the next; doubles
-	noticePause = 10 * time.Millisecond // from a failed try to the next; doubles
-	noticeMost  = 500 * time.Millisecond
-	noticeSlack = 100 * time.Millisecond // past a message's time, after which its notice is logged as late
+	maxNoticeBatch    = 64
+	maxNoticeTries    = 4                     // tries in flight at the same time
+	noticeResendDelay = 50 * time.Millisecond // from a try without a response to the next; doubles
+	noticeRetryDelay  = 10 * time.Millisecond // from a failed try to the next; doubles
+	maxNoticeDelay    = 500 * time.Millisecond
+	noticeLateAfter   = 100 * time.Millisecond // a confirmation later than this is logged as late
 )
 
-// notices sends notices until each has been taken.
+// notices sends notices until each has been confirmed.
 type notices struct {
-	clock  clock.Clock
-	addr   string
-	url    string           // at the address that is used now
-	moves  *mailbox[string] // further addresses, each in the place of the one before
-	log    *slog.Logger
-	client *http.Client
-	in     *mailbox[notice]
-	left   []*owedNotice // not confirmed yet, in the order in which they came
-	tries  []*noticeTry  // out, the oldest first
-	over   *mailbox[*noticeTry]
-	taken  func(id string)
-	owed   atomic.Int64 // ends given and not confirmed
+	clock       clock.Clock
+	addr        string
+	url         string           // of the address that is used now
+	addresses   *mailbox[string] // new addresses of the agent, each replacing the one before
+	log         *slog.Logger
+	client      *http.Client
+	incoming    *mailbox[notice]
+	pending     []*pendingNotice // not confirmed yet, in the order of their arrival
+	inFlight    []*noticeTry     // the oldest first
+	finished    *mailbox[*noticeTry]
+	onConfirmed func(id string)
+	unconfirmed atomic.Int64 // messages that have ended and whose notice is not confirmed
 }
 
-// owedNotice is one that is not confirmed yet.
-type owedNotice struct {
+// pendingNotice is a notice that is not confirmed yet.
+type pendingNotice struct {
 	notice
-	tries int
-	next  clock.Instant // when it is sent again
-	alone bool          // it was refused as unreadable, or another of its batch
-	told  bool
+	tries     int
+	nextTry   clock.Instant
+	sentAlone bool // the notice's batch was rejected as malformed, so it is not sent in a batch again
+	confirmed bool
 }
 
-// noticeTry is one POST.
+// noticeTry is one POST request with a batch of notices.
 type noticeTry struct {
-	batch  []*owedNotice
-	began  clock.Instant
-	cancel context.CancelFunc
-	status int
-	err    error
+	batch   []*pendingNotice
+	started clock.Instant
+	cancel  context.CancelFunc
+	status  int
+	err     error
 }
 
-func newNotices(addr string, clk clock.Clock, log *slog.Logger, taken func(string)) *notices {
-	return &notices{clock: clk, addr: addr, moves: newMailbox[string](), log: log, client: newPlainClient(noticeConns, discAnswer),
-		in: newMailbox[notice](), over: newMailbox[*noticeTry](), taken: taken}
+func newNotices(addr string, clk clock.Clock, log *slog.Logger, onConfirmed func(string)) *notices {
+	return &notices{clock: clk, addr: addr, addresses: newMailbox[string](), log: log,
+		client:   newAgentClient(maxNoticeTries, minResponseWait),
+		incoming: newMailbox[notice](), finished: newMailbox[*noticeTry](), onConfirmed: onConfirmed}
 }
 
 // run sends to one address after another until ctx ends.
-func (n *notices) run(ctx context.Context) { atEach(ctx, n.addr, n.moves, n.at) }
+func (n *notices) run(ctx context.Context) { atEach(ctx, n.addr, n.addresses, n.sendTo) }
 
-// at sends to one address; what is not confirmed there stays for the next.
-func (n *notices) at(ctx context.Context, addr string) {
+// sendTo sends notices to one address until ctx ends. Notices that are not confirmed there stay pending for the next
+// address.
+func (n *notices) sendTo(ctx context.Context, addr string) {
 	n.url = "http://" + addr + noticePath
-	for _, x := range n.left {
-		x.tries, x.next = 0, 0
+	for _, pending := range n.pending {
+		pending.tries, pending.nextTry = 0, 0
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var fresh []notice
-	var over []*noticeTry
+	var incoming []notice
+	var finished []*noticeTry
 	for ctx.Err() == nil {
-		over = n.over.takeAll(over)
-		for _, t := range over {
-			n.book(t)
+		finished = n.finished.takeAll(finished)
+		for _, try := range finished {
+			n.recordTry(try)
 		}
-		fresh = n.in.takeAll(fresh)
-		for _, x := range fresh {
-			n.left = append(n.left, &owedNotice{notice: x})
+		incoming = n.incoming.takeAll(incoming)
+		for _, x := range incoming {
+			n.pending = append(n.pending, &pendingNotice{notice: x})
 		}
-		timer.Reset(n.send(ctx, n.clock.Now()))
+		timer.Reset(n.sendDue(ctx, n.clock.Now()))
 		select {
 		case <-ctx.Done():
-		case <-n.in.ready:
-		case <-n.over.ready:
+		case <-n.incoming.ready:
+		case <-n.finished.ready:
 		case <-timer.C:
 		}
 	}
-	for { // all tries end with ctx
-		over = n.over.takeAll(over)
-		for _, t := range over {
-			n.book(t)
+	for { // waits for the tries in flight, which end with ctx
+		finished = n.finished.takeAll(finished)
+		for _, try := range finished {
+			n.recordTry(try)
 		}
-		if len(n.tries) == 0 {
+		if len(n.inFlight) == 0 {
 			break
 		}
-		<-n.over.ready
+		<-n.finished.ready
 	}
 	n.client.CloseIdleConnections()
 }
 
-// send makes the tries that are due and tells how long it is to the next. Where
-// as many are out as may be, the oldest makes room once it should have had its
-// answer; its notices are sent again like all that have none.
-func (n *notices) send(ctx context.Context, now clock.Instant) time.Duration {
+// sendDue sends the notices that are due and returns the time until the next one is. If maxNoticeTries are in flight,
+// it cancels the oldest try once that is older than noticeResendDelay; its notices are sent again like all others
+// without a response.
+func (n *notices) sendDue(ctx context.Context, now clock.Instant) time.Duration {
 	for {
 		due, next := n.due(now)
 		if len(due) == 0 {
 			return next.Sub(now)
 		}
-		if len(n.tries) >= noticeConns {
-			if free := n.tries[0].began.Add(noticeWait); free > now {
-				return free.Sub(now)
+		if len(n.inFlight) >= maxNoticeTries {
+			if cancelAt := n.inFlight[0].started.Add(noticeResendDelay); cancelAt > now {
+				return cancelAt.Sub(now)
 			}
-			n.tries[0].cancel()
-			n.tries = n.tries[1:]
+			n.inFlight[0].cancel()
+			n.inFlight = n.inFlight[1:]
 		}
-		again := false
-		for _, x := range due {
-			again = again || x.tries > 0
-			x.next = now.Add(backoff(noticeWait, x.tries))
-			x.tries++
+		repeated := false
+		for _, pending := range due {
+			repeated = repeated || pending.tries > 0
+			pending.nextTry = now.Add(backoff(noticeResendDelay, pending.tries))
+			pending.tries++
 		}
-		if again { // what was kept may have gone silent, all of it at once
+		if repeated { // all idle connections may have become dead at the same time
 			n.client.CloseIdleConnections()
 		}
-		n.try(ctx, due, now)
+		n.startTry(ctx, due, now)
 	}
 }
 
-// due lists what can go out in one try by now; where nothing can, next is when
-// something will.
-func (n *notices) due(now clock.Instant) (due []*owedNotice, next clock.Instant) {
+// due lists the notices that can be sent in one try now. If there are none, next is the time when there will be.
+func (n *notices) due(now clock.Instant) (due []*pendingNotice, next clock.Instant) {
 	next = now.Add(time.Hour)
-	for _, x := range n.left {
+	for _, pending := range n.pending {
 		switch {
-		case x.next > now:
-			if x.next < next {
-				next = x.next
+		case pending.nextTry > now:
+			if pending.nextTry < next {
+				next = pending.nextTry
 			}
-		case x.alone && len(due) == 0:
-			return []*owedNotice{x}, next
-		case !x.alone:
-			if due = append(due, x); len(due) == noticeBatch {
+		case pending.sentAlone && len(due) == 0:
+			return []*pendingNotice{pending}, next
+		case !pending.sentAlone:
+			if due = append(due, pending); len(due) == maxNoticeBatch {
 				return due, next
 			}
 		}
@@ -592,68 +600,70 @@
 	return due, next
 }
 
-func backoff(first time.Duration, failed int) time.Duration {
-	return min(first<<min(failed, 16), noticeMost)
+func backoff(first time.Duration, failures int) time.Duration {
+	return min(first<<min(failures, 16), maxNoticeDelay)
 }
 
-func (n *notices) try(ctx context.Context, batch []*owedNotice, now clock.Instant) {
+func (n *notices) startTry(ctx context.Context, batch []*pendingNotice, now clock.Instant) {
 	ctx, cancel := context.WithCancel(ctx)
-	t := &noticeTry{batch: batch, began: now, cancel: cancel}
-	n.tries = append(n.tries, t)
+	try := &noticeTry{batch: batch, started: now, cancel: cancel}
+	n.inFlight = append(n.inFlight, try)
 	go func() {
-		t.status, t.err = n.post(ctx, batch)
-		n.over.put(t)
+		try.status, try.err = n.post(ctx, batch)
+		n.finished.put(try)
 	}()
 }
 
-// book takes note of how a try ended.
-func (n *notices) book(t *noticeTry) {
-	t.cancel()
-	n.tries = slices.DeleteFunc(n.tries, func(x *noticeTry) bool { return x == t })
-	unread := t.status == http.StatusBadRequest
-	now, open := n.clock.Now(), 0
-	for _, x := range t.batch {
+// recordTry processes the result of a try.
+func (n *notices) recordTry(try *noticeTry) {
+	try.cancel()
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(x *noticeTry) bool { return x == try })
+	malformed := try.status == http.StatusBadRequest
+	now, unconfirmed := n.clock.Now(), 0
+	for _, pending := range try.batch {
 		switch {
-		case x.told:
-		case t.err == nil || unread && len(t.batch) == 1:
-			n.settle(x, t.err, now)
-		case unread: // one of them cannot be read; it must not hold up the others
-			x.alone, x.next = true, now
+		case pending.confirmed:
+		case try.err == nil || malformed && len(try.batch) == 1:
+			n.confirm(pending, try.err, now)
+		case malformed: // one notice of the batch is malformed; sent alone, it does not hold up the others
+			pending.sentAlone, pending.nextTry = true, now
 		default:
-			open++
-			if at := now.Add(backoff(noticePause, x.tries-1)); at < x.next {
-				x.next = at
+			unconfirmed++
+			if at := now.Add(backoff(noticeRetryDelay, pending.tries-1)); at < pending.nextTry {
+				pending.nextTry = at
 			}
 		}
 	}
-	if open > 0 && !errors.Is(t.err, context.Canceled) {
-		n.log.Warn("notices: not taken, sent again", "count", open, "err", t.err)
+	if unconfirmed > 0 && !errors.Is(try.err, context.Canceled) {
+		n.log.Warn("notices: not confirmed, will be sent again", "count", unconfirmed, "err", try.err)
 	}
-	n.left = slices.DeleteFunc(n.left, func(x *owedNotice) bool { return x.told })
-	for _, o := range n.tries { // nothing is left of it to be told
-		if !slices.ContainsFunc(o.batch, func(x *owedNotice) bool { return !x.told }) {
-			o.cancel()
+	n.pending = slices.DeleteFunc(n.pending, func(x *pendingNotice) bool { return x.confirmed })
+	for _, other := range n.inFlight { // a try whose notices are all confirmed is no longer needed
+		if !slices.ContainsFunc(other.batch, func(x *pendingNotice) bool { return !x.confirmed }) {
+			other.cancel()
 		}
 	}
 }
 
-func (n *notices) settle(x *owedNotice, err error, now clock.Instant) {
-	x.told = true
-	n.owed.Add(-1)
-	n.log.Debug("told", "message", x.Message, "outcome", x.Outcome, "left_ms", x.until.Sub(now).Milliseconds(), "tries", x.tries)
+func (n *notices) confirm(pending *pendingNotice, err error, now clock.Instant) {
+	pending.confirmed = true
+	n.unconfirmed.Add(-1)
+	n.log.Debug("told", "message", pending.Message, "outcome", pending.Outcome,
+		"left_ms", pending.deadline.Sub(now).Milliseconds(), "tries", pending.tries)
 	if err != nil {
-		n.log.Error("notices: cannot be read", "message", x.Message, "err", err)
-	} else if late := now.Sub(x.until); late > noticeSlack {
-		n.log.Warn("notices: told late", "message", x.Message, "late_ms", late.Milliseconds(), "tries", x.tries)
+		n.log.Error("notices: rejected as malformed", "message", pending.Message, "err", err)
+	} else if late := now.Sub(pending.deadline); late > noticeLateAfter {
+		n.log.Warn("notices: confirmed late", "message", pending.Message,
+			"late_ms", late.Milliseconds(), "tries", pending.tries)
 	}
-	n.taken(x.Message)
+	n.onConfirmed(pending.Message)
 }
 
-func (n *notices) post(ctx context.Context, batch []*owedNotice) (int, error) {
+func (n *notices) post(ctx context.Context, batch []*pendingNotice) (int, error) {
 	var body bytes.Buffer
-	enc := json.NewEncoder(&body) // one object a line
-	for _, x := range batch {
-		if err := enc.Encode(x.notice); err != nil {
+	encoder := json.NewEncoder(&body) // one JSON object per line
+	for _, pending := range batch {
+		if err := encoder.Encode(pending.notice); err != nil {
 			return 0, fmt.Errorf("notices: %w", err)
 		}
 	}
@@ -666,7 +676,7 @@
 		return 0, fmt.Errorf("notices: %w", err)
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, answerSkip))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBytes))
 	if resp.StatusCode != http.StatusNoContent {
 		return resp.StatusCode, fmt.Errorf("notices: status %d", resp.StatusCode)
 	}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -26,8 +26,8 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, -1, clock.System(), quietLog(), collect(func(l *List) { news <- l }))
-	x.silence = silence
+	x := newDiscovery(d.addr(), 3, -1, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
+	x.silenceTimeout = silence
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	return news
@@ -98,18 +98,18 @@
 	for _, relays := range []int{3, 80, 300, 3000} {
 		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
 		rng := rand.New(rand.NewPCG(1, 2))
-		span := 10 * discTurn
+		span := 10 * discoveryServiceTime
 		asked := map[time.Duration]int{} // by span
 		for range relays {
 			at := time.Duration(0)
 			for failed := 1; at < time.Minute; failed++ {
-				at += d.pause(failed, rng.Float64())
+				at += d.backoffDelay(failed, rng.Float64())
 				asked[at/span]++
 			}
 		}
 		// Word counts as told 6 s after discovery could be reached, so each relay asks once
 		// in discRest at least: that is the least that a fleet may cost, and hardly more.
-		even := float64(relays) * span.Seconds() / discRest.Seconds()
+		even := float64(relays) * span.Seconds() / maxBackoffCeiling.Seconds()
 		t.Logf("%d relays: %.1f askings a second after half a minute", relays, float64(asked[30*time.Second/span])/span.Seconds())
 		for at, n := range asked {
 			if n > max(25, relays*3) || relays > 3 && n > max(30, int(1.6*even)) {
@@ -117,11 +117,11 @@
 			}
 		}
 	}
-	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.pause(1, 0.99) >= discTold || d.pause(6, 0) < discRest/2 {
-		t.Errorf("300 relays: first pause up to %v, a later one from %v", d.pause(1, 0.99), d.pause(6, 0))
+	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove || d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
+		t.Errorf("300 relays: first pause up to %v, a later one from %v", d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
 	}
-	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.pause(1, 0.99) > 2*discPause || d.answer != discAnswer {
-		t.Errorf("three relays: first pause up to %v, answer within %v", d.pause(1, 0.99), d.answer)
+	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound || d.responseWait != minResponseWait {
+		t.Errorf("three relays: first pause up to %v, answer within %v", d.backoffDelay(1, 0.99), d.responseWait)
 	}
 }
 
@@ -131,7 +131,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collect(func(l *List) { news <- l }))
+	x := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	if l := next(t, news); l.Complete || len(l.Members) > 0 || l.Revision != 7 {
@@ -150,7 +150,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collect(func(l *List) { news <- l }))
+	x := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
 	x.round = 1000 * time.Hour
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -198,8 +198,8 @@
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
 	defer func() { cancel(); <-done }()
-	n.in.put(notice{Message: "a", Outcome: endGivenUp})
-	n.in.put(notice{Message: "b", Outcome: endHandedBack, RetryMS: 500})
+	n.incoming.put(notice{Message: "a", Outcome: noticeGivenUp})
+	n.incoming.put(notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500})
 	select {
 	case id := <-taken:
 		t.Fatalf("%s held to be told", id)
@@ -209,11 +209,11 @@
 	for range 2 {
 		<-taken
 	}
-	if b, _ := d.notice("b"); b != (notice{Message: "b", Outcome: endHandedBack, RetryMS: 500}) {
+	if b, _ := d.notice("b"); b != (notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500}) {
 		t.Errorf("told %+v", b)
 	}
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusBadRequest })
-	n.in.put(notice{Message: "c", Outcome: endGivenUp})
+	n.incoming.put(notice{Message: "c", Outcome: noticeGivenUp})
 	if id := <-taken; id != "c" {
 		t.Errorf("%s in place of c", id)
 	}
@@ -252,7 +252,7 @@
 // tellAll runs notices until so many are told, and returns how often each was.
 func tellAll(t *testing.T, addr string, count int, put func(*notices)) map[string]int {
 	t.Helper()
-	taken := make(chan string, noticeBatch)
+	taken := make(chan string, maxNoticeBatch)
 	n := newNotices(addr, clock.System(), quietLog(), func(id string) { taken <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -292,10 +292,10 @@
 		return noticeTaken
 	})
 	got := tellAll(t, addr, 3, func(n *notices) {
-		n.in.put(notice{Message: "reset", Outcome: endGivenUp})
-		n.in.put(notice{Message: "silent", Outcome: endGivenUp})
+		n.incoming.put(notice{Message: "reset", Outcome: noticeGivenUp})
+		n.incoming.put(notice{Message: "silent", Outcome: noticeGivenUp})
 		waitFor(t, "the try that hangs", hangs.Load)
-		n.in.put(notice{Message: "later", Outcome: endGivenUp})
+		n.incoming.put(notice{Message: "later", Outcome: noticeGivenUp})
 	})
 	if len(got) != 3 {
 		t.Errorf("told %v", got)
@@ -308,10 +308,10 @@
 func TestNoticeTriesInTime(t *testing.T) {
 	silent, reset := time.Duration(0), time.Duration(0)
 	for failed := range 2 {
-		silent += backoff(noticeWait, failed)
+		silent += backoff(noticeResendDelay, failed)
 	}
 	for failed := range 4 {
-		reset += backoff(noticePause, failed)
+		reset += backoff(noticeRetryDelay, failed)
 	}
 	if most := 200 * time.Millisecond; silent > most || reset > most {
 		t.Errorf("third try into silence after %v, fifth after resets after %v", silent, reset)
@@ -327,13 +327,13 @@
 		}
 		return noticeTaken
 	})
-	got := tellAll(t, addr, noticeBatch, func(n *notices) {
-		n.in.put(notice{Message: "bad", Outcome: endGivenUp})
-		for i := range noticeBatch - 1 {
-			n.in.put(notice{Message: strconv.Itoa(i), Outcome: endGivenUp})
+	got := tellAll(t, addr, maxNoticeBatch, func(n *notices) {
+		n.incoming.put(notice{Message: "bad", Outcome: noticeGivenUp})
+		for i := range maxNoticeBatch - 1 {
+			n.incoming.put(notice{Message: strconv.Itoa(i), Outcome: noticeGivenUp})
 		}
 	})
-	if len(got) != noticeBatch {
-		t.Errorf("%d of %d told, %v", len(got), noticeBatch, got)
+	if len(got) != maxNoticeBatch {
+		t.Errorf("%d of %d told, %v", len(got), maxNoticeBatch, got)
 	}
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -23,189 +23,199 @@
 )
 
 const (
-	callPath    = "/v1/messages"
-	batchPath   = "/v1/messages:batch"
-	probePath   = "/health/live"
-	answerMost  = 192 << 10       // bytes of an answer that are read, with what comes ahead of it
-	answerWait  = time.Second     // between two bytes of an answer that has begun: it may come in pieces
-	connsMost   = 4               // connections on which one call is begun
-	hintsMost   = 8               // 1xx answers ahead of the last
-	probeWait   = 2 * time.Second // a probe that takes longer has failed
-	idleMargin  = 10              // one part in so many of the keep-alive is left unused
-	longestWait = 10 * time.Minute
-	aliveWait   = decide.Time(1e6) // an endpoint that answered within this is not away
-	loadMost    = 1e6              // no figure of a load report is higher
+	callPath  = "/v1/messages"
+	batchPath = "/v1/messages:batch"
+	probePath = "/health/live"
+	// maxResponseBytes bounds what is read for one call: the final response and all interim responses before it.
+	maxResponseBytes = 192 << 10
+	// responseStallTimeout is the longest gap between two reads of a response that has begun. A response may arrive
+	// in pieces.
+	responseStallTimeout = time.Second
+	maxCallConns         = 4 // connections that one call tries to write its request to
+	maxInterimResponses  = 8 // 1xx responses before the final one
+	probeTimeout         = 2 * time.Second
+	// keepAliveMarginDivisor: the pool closes idle connections 1/keepAliveMarginDivisor of the keep-alive time early.
+	keepAliveMarginDivisor = 10
+	maxRetryAfter          = 10 * time.Minute
+	recentResponseWindow   = decide.Time(1e6) // an endpoint that responded within this time counts as reachable
+	maxLoadValue           = 1e6              // larger values in a load report are ignored
 )
 
-// endpoint is one address of a destination, with its kept-alive connections. There
-// is one as long as something is known, told or out of it. The loop owns it; calls use its address as it was when they began.
+// endpoint is one address of a destination with its connection pool. It exists as long as the relay has calls in
+// flight there, a Retry-After to observe, or policy state about it. The loop owns it; a call keeps using the address
+// that the endpoint had when the call began.
 type endpoint struct {
-	id        string
-	num       decide.Endpoint
-	cell      int
-	zone      string
-	batch     int  // messages that one call may carry
-	apart     bool // a route: its waits bind it alone
-	hostPort  string
-	gone      bool // drained or removed: nothing new goes there
-	goneAt    decide.Time
-	waitUntil decide.Time // told to wait
-	answerAt  decide.Time // when it last answered at all
-	home      *home
-	calls     map[*call]bool
-	released  bool // the policy keeps nothing of it
-	leaving   bool // it is among those looked at for whether they can be forgotten
+	id             string
+	num            decide.Endpoint
+	dest           int
+	zone           string
+	maxBatch       int  // messages that one call may carry
+	separateRoute  bool // a Retry-After applies to this endpoint alone, not to its whole destination
+	hostPort       string
+	withdrawn      bool // drained or removed: no new call goes there
+	withdrawnAt    decide.Time
+	waitUntil      decide.Time // end of the Retry-After that was last received
+	lastResponseAt decide.Time // time of the last response of any status
+	conns          *hostPool
+	calls          map[*call]bool
+	released       bool // the policy keeps no state about the endpoint
+	forgetQueued   bool // the endpoint is in the queue that forgetEndpoints checks
 }
 
-// suspect books how a call went and reports whether the endpoint's idle
-// connections are to be given up. After a machine was silent or died, each of
-// them would hang or be reset under a call that may then have run.
-func (ep *endpoint) suspect(o *outcome, now decide.Time) bool {
-	switch o.what {
+// recordResult records the result of a call and reports whether the endpoint's idle connections are to be closed.
+// After the endpoint's machine was unreachable or died, each of them would hang or be reset during a call that may
+// already have run.
+func (ep *endpoint) recordResult(result *callResult, now decide.Time) bool {
+	switch result.outcome {
 	case decide.NoConnect:
 		return true
-	case decide.Reset: // one connection that broke, where the endpoint goes on answering on others
-		return ep.answerAt < now-aliveWait
+	case decide.Reset: // only one connection broke if the endpoint still responds on others
+		return ep.lastResponseAt < now-recentResponseWindow
 	case decide.TimedOut, decide.Cancelled:
-		return ep.answerAt < now-o.took // others that were sent later were answered: one slow call
+		// Only this call was slow if the endpoint has responded since the call was sent.
+		return ep.lastResponseAt < now-result.elapsed
 	}
-	if o.status != 0 || o.spoilt {
-		ep.answerAt = now
+	if result.status != 0 || result.malformed {
+		ep.lastResponseAt = now
 	}
 	return false
 }
 
 // Stages of a call.
 const (
-	callWaiting int32 = iota // for a connection: stopped now, it has never run
-	callSending              // bytes may be under way
-	callStopped              // stopped before its first byte
+	callConnecting int32 = iota // waiting for a connection: if cancelled now, the call has never run
+	callSending                 // bytes of the request may have been sent
+	callCancelled               // cancelled before its first byte was sent
 )
 
 var (
-	errCancelled = errors.New("cancelled")
-	errDrained   = errors.New("endpoint drained")
-	errTold      = errors.New("told to wait")
-	errWithheld  = errors.New("withheld before its first byte")
-	errNoCall    = errors.New("endpoint gone, or no time left")
-	errUnlogged  = errors.New("attempt not logged")
-	errTakenOut  = errors.New("its time was up before the call was written")
+	errCancelled        = errors.New("cancelled")
+	errDrained          = errors.New("endpoint drained")
+	errRetryAfter       = errors.New("endpoint sent Retry-After")
+	errCancelledUnsent  = errors.New("cancelled before the first byte was sent")
+	errNotStarted       = errors.New("call not started: endpoint unavailable, or no time left")
+	errAttemptNotLogged = errors.New("attempt not logged")
+	errMessageRemoved   = errors.New("message removed from the call before the request was sent")
 )
 
-// call is one call, with the messages that travel in it. It is out once stop
-// is set. Its run has nothing to do with what the loop owns.
+// call is one request to an endpoint with one or several messages. It is in flight once cancel is set. The goroutine
+// that executes run does not access the fields that the loop owns.
 type call struct {
-	ep       *endpoint
-	msgs     []*message // the loop's
-	out      int        // of them, without an outcome; the loop's
-	num      uint64     // of a call that another process made
-	stage    atomic.Int32
-	withheld atomic.Bool // nothing of it may begin any more
-	ctx      context.Context
-	stop     context.CancelCauseFunc
-
-	mu      sync.Mutex
-	taken   map[*message]bool // out of it again: they must not go with what is still to be written
-	written bool              // its last byte is written, or is just being
+	ep          *endpoint
+	msgs        []*message // owned by the loop
+	unfinished  int        // messages without an outcome; owned by the loop
+	restoredNum uint64     // number of the call in this process, if a predecessor process made it
+	stage       atomic.Int32
+	noRestart   atomic.Bool // the call must not be sent on another connection
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+
+	mu        sync.Mutex
+	removed   map[*message]bool // messages that must not be in a request written from now on
+	committed bool              // the last byte of the request is written, or is being written
 }
 
-// takeOut takes a message out of a call whose last byte is not written. It reports
-// whether that was in time: the message has then never run by this call and never
-// will. A connection may come up long after a message's time, with others waiting
-// for it still.
-func (c *call) takeOut(m *message) bool {
+// removeMessage removes a message from a call whose last byte is not written. It reports whether that was in time: if
+// so, this call has not run the message and never will. A connection may be established long after the message's
+// deadline, while other messages of the call still wait for it.
+func (c *call) removeMessage(m *message) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taken == nil {
-		c.taken = map[*message]bool{}
+	if c.removed == nil {
+		c.removed = map[*message]bool{}
 	}
-	c.taken[m] = true // also when late: the last byte may yet fail to leave, and the call begin anew
-	return !c.written
+	c.removed[m] = true // also when late: writing the last byte may fail, and the call is then written again
+	return !c.committed
 }
 
-// still lists the parts that go with the call.
-func (c *call) still(parts []part, now clock.Instant) []part {
+// remainingItems lists the items that are still to be sent with the call.
+func (c *call) remainingItems(items []callItem, now clock.Instant) []callItem {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(parts), func(p part) bool { return c.taken[p.m] || p.late(now) })
+	return slices.DeleteFunc(slices.Clone(items), func(item callItem) bool {
+		return c.removed[item.message] || item.repeatExpired(now)
+	})
 }
 
-// commit is said right before the last byte of a call with these parts. It reports
-// false where one of them was taken out since, or may not be repeated any more: then
-// that byte must not be written.
-func (c *call) commit(parts []part, now clock.Instant) bool {
+// commitLastByte is called right before the last byte of a request with these items is written. It reports false if
+// one of the items was removed since, or may no longer be repeated: that byte must not be written then.
+func (c *call) commitLastByte(items []callItem, now clock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.written = !slices.ContainsFunc(parts, func(p part) bool { return c.taken[p.m] || p.late(now) })
-	return c.written
+	c.committed = !slices.ContainsFunc(items, func(item callItem) bool {
+		return c.removed[item.message] || item.repeatExpired(now)
+	})
+	return c.committed
 }
 
-// uncommit is said where the last byte did not leave after all.
-func (c *call) uncommit() {
+// revertCommit is called after writing the last byte has failed.
+func (c *call) revertCommit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.written = false
+	c.committed = false
 }
 
-// part is one message of a call as the call's run sees it.
-type part struct {
-	m     *message // told back, never looked into
-	rec   *record
-	limit time.Duration // how long its outcome is waited for
-	by    clock.Instant // the end of its window for repeats, where an attempt before may have run
+// callItem is one message of a call, as seen by the goroutine that executes the call.
+type callItem struct {
+	message     *message // identifies the message in results; its fields are not accessed
+	rec         *record
+	timeout     time.Duration // time from the start of the call in which an outcome is awaited
+	repeatUntil clock.Instant // end of the deduplication window, if an earlier attempt may have run; zero otherwise
 }
 
-// late reports whether the window is over. A connection may come up long after its
-// attempt was decided on, and what arrives then takes effect once more.
-func (p part) late(now clock.Instant) bool { return !p.by.IsZero() && now >= p.by }
+// repeatExpired reports whether the deduplication window is over. A connection may be established long after the
+// attempt was decided on, and a message that arrives after the window takes effect a second time.
+func (i callItem) repeatExpired(now clock.Instant) bool {
+	return !i.repeatUntil.IsZero() && now >= i.repeatUntil
+}
 
-// ending is what an answer for several messages says of one of them.
-type ending struct {
-	what    decide.Outcome
+// itemResult is the result of one message in the response to a batch.
+type itemResult struct {
+	outcome decide.Outcome
 	settled bool
 }
 
-// outcome is what became of a call or a probe.
-type outcome struct {
-	what    decide.Outcome
-	wait    decide.Time
-	slots   bool // not sent, since all slots were taken
-	crowded bool // turned away for want of a connection
-	settled bool // the message is over
-	took    decide.Time
-	load    decide.Load
-	status  int
-	reused  int               // calls that its connection carried before
-	idle    time.Duration     // of the connection, before the call
-	spoilt  bool              // an answer came and cannot be believed
-	ends    map[string]ending // by id: those that fared otherwise
-	err     error
+// callResult is the result of a call or a probe.
+type callResult struct {
+	outcome      decide.Outcome
+	retryAfter   decide.Time
+	slotsTaken   bool // the endpoint did not run the call since all its slots were taken
+	tooManyConns bool // the endpoint rejected the connection because it has too many
+	settled      bool // the message needs no further attempt
+	elapsed      decide.Time
+	load         decide.Load
+	status       int
+	priorCalls   int                   // calls that the connection carried before
+	connIdle     time.Duration         // time that the connection was idle before the call
+	malformed    bool                  // a response arrived that is incomplete or invalid
+	itemResults  map[string]itemResult // by message id: results that differ from outcome and settled
+	err          error
 }
 
-// withhold stops the call if its first byte is not written yet: its endpoint
-// drains, or a wait was told meanwhile. One under way is not begun again.
-func (c *call) withhold(why error) {
-	c.withheld.Store(true)
-	if c.stage.CompareAndSwap(callWaiting, callStopped) {
-		c.stop(why)
+// cancelUnsent cancels the call if its first byte is not written yet, because its endpoint drains or sent a
+// Retry-After. A call that is being sent goes on, but is not sent again on another connection.
+func (c *call) cancelUnsent(cause error) {
+	c.noRestart.Store(true)
+	if c.stage.CompareAndSwap(callConnecting, callCancelled) {
+		c.cancel(cause)
 	}
 }
 
-// lead is the message that stands first in the call, for the log.
-func (c *call) lead() string {
+// leadID is the id of the first message of the call, for the log.
+func (c *call) leadID() string {
 	if len(c.msgs) == 0 {
 		return ""
 	}
 	return c.msgs[0].rec.ID
 }
 
-// newCallRequest makes the request of a call. Its GetBody stays nil.
-func newCallRequest(hostPort string, parts []part, timeout time.Duration) (*http.Request, error) {
-	path, body := callPath, parts[0].rec.body
-	if len(parts) > 1 {
+// newCallRequest creates the request of a call. GetBody stays nil, so that net/http cannot send the body again.
+func newCallRequest(hostPort string, items []callItem, timeout time.Duration) (*http.Request, error) {
+	path, body := callPath, items[0].rec.body
+	if len(items) > 1 {
 		path = batchPath
 		var err error
-		if body, err = batchBody(parts); err != nil {
+		if body, err = batchBody(items); err != nil {
 			return nil, err
 		}
 	}
@@ -216,11 +226,11 @@
 	if req.ContentLength = int64(len(body)); len(body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	if len(parts) > 1 {
+	if len(items) > 1 {
 		req.Header.Set("Content-Type", "application/json")
 	} else {
-		req.Header.Set("X-Request-ID", parts[0].rec.ID)
-		if key := parts[0].rec.Key; key != "" {
+		req.Header.Set("X-Request-ID", items[0].rec.ID)
+		if key := items[0].rec.Key; key != "" {
 			req.Header.Set("Idempotency-Key", key)
 		}
 	}
@@ -229,150 +239,151 @@
 	return req, nil
 }
 
-// batchBody is the body of a call with several messages; their own go in Base64.
-func batchBody(parts []part) ([]byte, error) {
-	type item struct {
+// batchBody encodes the body of a call with several messages. The messages' own bodies are in Base64.
+func batchBody(items []callItem) ([]byte, error) {
+	type batchItem struct {
 		ID   string `json:"id"`
 		Key  string `json:"key,omitempty"`
 		Body []byte `json:"body"`
 	}
-	items := make([]item, len(parts))
-	for i, p := range parts {
-		items[i] = item{p.rec.ID, p.rec.Key, append([]byte{}, p.rec.body...)}
+	batch := make([]batchItem, len(items))
+	for i, item := range items {
+		batch[i] = batchItem{item.rec.ID, item.rec.Key, append([]byte{}, item.rec.body...)}
 	}
-	return json.Marshal(items)
+	return json.Marshal(batch)
 }
 
-// run makes the call. It tells what became of it once, as soon as that is
-// certain, with no message named; before that it may tell of messages whose
-// time was up sooner. It returns when the call's connection carries nothing of
-// it any more.
-func (c *call) run(h *home, parts []part, loads []string, tell func(*message, outcome)) {
-	defer c.stop(nil)
-	clk := h.pool.clock
-	began := clk.Now()
-	limit := time.Duration(0)
-	for _, p := range parts {
-		limit = max(limit, p.limit)
-	}
-	for _, p := range parts {
-		if !p.by.IsZero() && len(parts) > 1 {
-			t := time.AfterFunc(clock.Until(clk, p.by), func() {
-				if c.takeOut(p.m) { // the others go on without it
-					tell(p.m, outcome{what: decide.NotSent, err: errTakenOut, took: clock.Since(clk, began).Microseconds()})
+// run executes the call. It reports the result of the call once, with a nil message, as soon as the result is
+// certain. Before that it may report results of single messages whose time was over earlier. It returns when the
+// connection carries nothing of the call any more.
+func (c *call) run(host *hostPool, items []callItem, loadFields []string, report func(*message, callResult)) {
+	defer c.cancel(nil)
+	clk := host.pool.clock
+	started := clk.Now()
+	timeout := time.Duration(0)
+	for _, item := range items {
+		timeout = max(timeout, item.timeout)
+	}
+	for _, item := range items {
+		if !item.repeatUntil.IsZero() && len(items) > 1 {
+			timer := time.AfterFunc(clock.Until(clk, item.repeatUntil), func() {
+				if c.removeMessage(item.message) { // the other messages are sent without it
+					report(item.message, callResult{outcome: decide.NotSent, err: errMessageRemoved,
+						elapsed: clock.Since(clk, started).Microseconds()})
 				}
 			})
-			defer t.Stop()
-		}
-		if p.limit < limit {
-			t := time.AfterFunc(p.limit, func() {
-				o := outcome{what: decide.TimedOut, err: context.DeadlineExceeded, took: clock.Since(clk, began).Microseconds()}
-				if c.takeOut(p.m) {
-					o.what, o.err = decide.NotSent, errTakenOut
+			defer timer.Stop()
+		}
+		if item.timeout < timeout {
+			timer := time.AfterFunc(item.timeout, func() {
+				result := callResult{outcome: decide.TimedOut, err: context.DeadlineExceeded,
+					elapsed: clock.Since(clk, started).Microseconds()}
+				if c.removeMessage(item.message) {
+					result.outcome, result.err = decide.NotSent, errMessageRemoved
 				}
-				tell(p.m, o)
+				report(item.message, result)
 			})
-			defer t.Stop()
+			defer timer.Stop()
 		}
 	}
-	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(c.ctx, timeout, context.DeadlineExceeded)
 	defer cancel()
-	end := func(what decide.Outcome, err error) {
-		tell(nil, outcome{what: what, err: err, took: clock.Since(clk, began).Microseconds()})
+	fail := func(outcome decide.Outcome, err error) {
+		report(nil, callResult{outcome: outcome, err: err, elapsed: clock.Since(clk, started).Microseconds()})
 	}
-	conn, req, parts, what, err := c.send(ctx, h, parts, began)
+	conn, req, items, outcome, err := c.send(ctx, host, items, started)
 	if err != nil {
-		end(what, err)
+		fail(outcome, err)
 		return
 	}
 	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
-	told := false
-	keep := readAnswer(conn, req, parts, loads, func(o outcome) {
-		told = true
-		o.reused, o.idle = conn.calls, conn.idle
-		o.took = clock.Since(clk, began).Microseconds()
-		if o.what == decide.Reset {
-			o.what = c.unanswered(ctx)
-		}
-		if o.err != nil && o.what != decide.Delivered {
-			// First its end, then the word of it: the next attempt must not go out
-			// beside this one, where the endpoint still takes it for one that is wanted.
+	reported := false
+	reusable := readResponse(conn, req, items, loadFields, func(result callResult) {
+		reported = true
+		result.priorCalls, result.connIdle = conn.priorCalls, conn.idleTime
+		result.elapsed = clock.Since(clk, started).Microseconds()
+		if result.outcome == decide.Reset {
+			result.outcome = c.outcomeWithoutResponse(ctx)
+		}
+		if result.err != nil && result.outcome != decide.Delivered {
+			// The connection is closed before the result is reported: the next attempt must not start while the
+			// endpoint still takes this one for a live request.
 			conn.Close()
 		}
-		// Nobody waits for the call any more; what is left of its answer has
-		// its own bound.
-		tell(nil, o)
+		// No message waits for the call any more; reading the rest of the response has its own bound.
+		report(nil, result)
 	})
-	if !unwatch() || !told || !keep {
-		conn.drop()
+	if !unwatch() || !reported || !reusable {
+		conn.discard()
 		return
 	}
 	conn.put()
 }
 
-// send gets a connection and writes the call to it, with those of its parts that
-// still go with it. With an error, its last byte was not written. A connection that
-// turns out to be of no use before then is replaced: nothing of the call counts so far.
-func (c *call) send(ctx context.Context, h *home, all []part, began clock.Instant) (*poolConn, *http.Request, []part, decide.Outcome, error) {
-	fail := func(what decide.Outcome, err error) (*poolConn, *http.Request, []part, decide.Outcome, error) {
-		return nil, nil, nil, what, err
-	}
-	for left := connsMost - 1; ; left-- {
-		conn, err := h.getPatiently(ctx)
-		if err == errNoRoom || c.stage.Load() == callStopped {
+// send gets a connection and writes the request to it, with those of the items that are still to be sent. If it
+// returns an error, the last byte of the request was not written. A connection that fails before its last byte is
+// replaced: the endpoint cannot have run anything of the call by then.
+func (c *call) send(ctx context.Context, host *hostPool, all []callItem, started clock.Instant) (
+	*poolConn, *http.Request, []callItem, decide.Outcome, error) {
+	fail := func(outcome decide.Outcome, err error) (*poolConn, *http.Request, []callItem, decide.Outcome, error) {
+		return nil, nil, nil, outcome, err
+	}
+	for connsLeft := maxCallConns - 1; ; connsLeft-- {
+		conn, err := host.getWithRetry(ctx)
+		if err == errPoolFull || c.stage.Load() == callCancelled {
 			if conn != nil {
 				conn.put()
 			}
-			return fail(decide.NotSent, cmp.Or(err, errWithheld))
+			return fail(decide.NotSent, cmp.Or(err, errCancelledUnsent))
 		}
 		if err != nil {
-			return fail(notConnected(err), err)
+			return fail(unsentOutcome(err), err)
 		}
-		conn.left = answerMost
-		if !c.stage.CompareAndSwap(callWaiting, callSending) { // the word came first
+		conn.readBudget = maxResponseBytes
+		if !c.stage.CompareAndSwap(callConnecting, callSending) { // cancelUnsent came first
 			conn.put()
-			return fail(decide.NotSent, errWithheld)
+			return fail(decide.NotSent, errCancelledUnsent)
 		}
-		clk := h.pool.clock
-		parts := c.still(all, clk.Now())
-		if len(parts) == 0 {
+		clk := host.pool.clock
+		items := c.remainingItems(all, clk.Now())
+		if len(items) == 0 {
 			conn.put()
-			return fail(decide.NotSent, errTakenOut)
+			return fail(decide.NotSent, errMessageRemoved)
 		}
-		req, text, err := callText(h.addr, parts, clock.Since(clk, began))
+		req, text, err := encodeCall(host.addr, items, clock.Since(clk, started))
 		if err != nil {
 			conn.put()
 			return fail(decide.NotSent, err)
 		}
-		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
-		err = conn.write(ctx, text, func() bool { return c.commit(parts, clk.Now()) })
+		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+		err = conn.writeRequest(ctx, text, func() bool { return c.commitLastByte(items, clk.Now()) })
 		if err == nil {
-			stop() // the caller watches on
-			return conn, req, parts, 0, nil
+			unwatch() // the caller watches ctx from here on
+			return conn, req, items, 0, nil
 		}
-		stop()
-		conn.drop()
-		c.uncommit()
-		if err == errTakenOut {
-			left++ // nothing is wrong with the endpoint
+		unwatch()
+		conn.discard()
+		c.revertCommit()
+		if err == errMessageRemoved {
+			connsLeft++ // the connection did not fail
 		}
-		if left == 0 || ctx.Err() != nil || c.withheld.Load() {
-			return fail(notConnected(err), err)
+		if connsLeft == 0 || ctx.Err() != nil || c.noRestart.Load() {
+			return fail(unsentOutcome(err), err)
 		}
-		c.stage.Store(callWaiting)
-		if c.withheld.Load() { // said between the two: withhold saw a call under way
-			return fail(decide.NotSent, errWithheld)
+		c.stage.Store(callConnecting)
+		if c.noRestart.Load() { // set before the Store above: cancelUnsent saw the call as being sent
+			return fail(decide.NotSent, errCancelledUnsent)
 		}
 	}
 }
 
-// callText is a call as it is written, so long after it began.
-func callText(hostPort string, parts []part, waited time.Duration) (*http.Request, []byte, error) {
-	limit := time.Duration(0)
-	for _, p := range parts {
-		limit = max(limit, p.limit)
+// encodeCall encodes the request of a call that started the time waited ago.
+func encodeCall(hostPort string, items []callItem, waited time.Duration) (*http.Request, []byte, error) {
+	timeout := time.Duration(0)
+	for _, item := range items {
+		timeout = max(timeout, item.timeout)
 	}
-	req, err := newCallRequest(hostPort, parts, limit-waited)
+	req, err := newCallRequest(hostPort, items, timeout-waited)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -383,8 +394,8 @@
 	return req, text.Bytes(), nil
 }
 
-// unanswered maps a call that was written and has no answer.
-func (c *call) unanswered(ctx context.Context) decide.Outcome {
+// outcomeWithoutResponse gives the outcome of a call that was written and got no response.
+func (c *call) outcomeWithoutResponse(ctx context.Context) decide.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
 		return decide.Cancelled
@@ -394,134 +405,136 @@
 	return decide.Reset
 }
 
-// readAnswer reads an answer and tells its outcome: to a call with one message,
-// a first line with 200 is true whatever follows it; anything else is believed only once all of it has
-// been read and makes sense, since a spoilt answer is that of a call that may
-// have run. It reports whether the connection can carry another call.
-func readAnswer(conn *poolConn, req *http.Request, parts []part, loads []string, tell func(outcome)) (keep bool) {
+// readResponse reads a response and reports the result of the call. For a call with one message, a status line with
+// 200 is final, whatever follows it. Any other response counts only once it has been read completely and is valid,
+// since a call with a malformed response may have run. readResponse returns whether the connection can carry another
+// call.
+func readResponse(conn *poolConn, req *http.Request, items []callItem, loadFields []string,
+	report func(callResult)) (reusable bool) {
 	status, err := 0, error(nil)
-	stop := func() bool { return true }
-	defer func() { stop() }()
+	stopTimer := func() bool { return true }
+	defer func() { stopTimer() }()
 	begun := false
-	for hints := 0; ; hints++ {
+	for interim := 0; ; interim++ {
 		var line string
-		if _, err = conn.in.Peek(1); err == nil {
+		if _, err = conn.reader.Peek(1); err == nil {
 			begun = true
-			stop = conn.bound(answerWait)
+			stopTimer = conn.startStallTimer(responseStallTimeout)
 		}
-		if line, err = firstLine(conn.in); err == nil {
-			status, err = statusOf(line)
+		if line, err = peekStatusLine(conn.reader); err == nil {
+			status, err = parseStatus(line)
 		}
-		if err == nil && status < 200 && hints >= hintsMost {
-			err = errors.New("too many answers ahead of the last")
+		if err == nil && status < 200 && interim >= maxInterimResponses {
+			err = errors.New("too many interim responses")
 		}
 		if err != nil {
-			o := outcome{what: decide.Reset, err: err}
-			if begun && !errors.Is(err, io.EOF) && !isBroken(err) {
-				o.what, o.spoilt = decide.Errored, true
+			result := callResult{outcome: decide.Reset, err: err}
+			if begun && !errors.Is(err, io.EOF) && !isBrokenConn(err) {
+				result.outcome, result.malformed = decide.Errored, true
 			}
-			tell(o)
+			report(result)
 			return false
 		}
 		if status >= 200 {
 			break
 		}
-		// The answer itself may come much later than what is ahead of it.
-		if err := skipHead(conn.in); err != nil || !stop() {
-			tell(outcome{what: decide.Errored, spoilt: true, err: err})
+		// The final response may arrive much later than an interim one, so the stall timer is stopped.
+		if err := skipHeader(conn.reader); err != nil || !stopTimer() {
+			report(callResult{outcome: decide.Errored, malformed: true, err: err})
 			return false
 		}
 		begun = false
 	}
-	several := len(parts) > 1
-	if status == http.StatusOK && !several {
-		tell(outcome{what: decide.Delivered, settled: true, status: status,
-			load: readLoad(headSoFar(conn.in).Get("X-Server-Load"), loads)})
+	batched := len(items) > 1
+	if status == http.StatusOK && !batched {
+		report(callResult{outcome: decide.Delivered, settled: true, status: status,
+			load: parseLoad(bufferedHeader(conn.reader).Get("X-Server-Load"), loadFields)})
 	}
 	var body []byte
-	resp, err := http.ReadResponse(conn.in, req)
+	resp, err := http.ReadResponse(conn.reader, req)
 	if err == nil {
 		if resp.ContentLength > bodyMost {
-			err = errTooBig
-		} else if several {
+			err = errResponseTooLarge
+		} else if batched {
 			body, err = io.ReadAll(resp.Body)
 		} else {
 			_, err = io.Copy(io.Discard, resp.Body)
 		}
 		resp.Body.Close()
 	}
-	if status == http.StatusOK && !several {
+	if status == http.StatusOK && !batched {
 		return err == nil && !resp.Close
 	}
-	o := outcome{status: status, err: err}
+	result := callResult{status: status, err: err}
 	if err == nil {
-		o.load = readLoad(resp.Header.Get("X-Server-Load"), loads)
-		if several {
-			o.err = o.readBatch(resp.Header, body, parts)
+		result.load = parseLoad(resp.Header.Get("X-Server-Load"), loadFields)
+		if batched {
+			result.err = result.applyBatch(resp.Header, body, items)
 		} else {
-			o.err = o.read(resp.Header)
+			result.err = result.applyStatus(resp.Header)
 		}
 	}
-	if o.err != nil {
-		o.err = fmt.Errorf("answer not whole, %d bytes read: %w", answerMost-conn.left, o.err)
-		o.what, o.spoilt, o.wait, o.slots, o.settled, o.ends = decide.Errored, true, 0, false, false, nil
+	if result.err != nil {
+		result.err = fmt.Errorf("malformed response, %d bytes read: %w", maxResponseBytes-conn.readBudget, result.err)
+		result.outcome, result.malformed, result.retryAfter, result.slotsTaken, result.settled, result.itemResults =
+			decide.Errored, true, 0, false, false, nil
 	}
-	// An endpoint that has no place for another connection says so on it and ends it,
-	// and has no report of what it could take.
-	o.crowded = o.what == decide.Full && status == http.StatusServiceUnavailable && resp.Close && conn.calls == 0 &&
-		resp.Header.Get("X-Server-Load") == "" && o.wait == 0
-	tell(o)
-	return o.err == nil && !resp.Close
+	// An endpoint that accepts no further connection responds with 503 on the new connection and closes it. That
+	// response carries no load report.
+	result.tooManyConns = result.outcome == decide.Full && status == http.StatusServiceUnavailable && resp.Close &&
+		conn.priorCalls == 0 && resp.Header.Get("X-Server-Load") == "" && result.retryAfter == 0
+	report(result)
+	return result.err == nil && !resp.Close
 }
 
-// headSoFar reads the head of the answer as far as it has come, without
-// waiting: what was delivered is told at once, and its report with it where it
-// came along, as it does when the answer was written in one.
-func headSoFar(in *bufio.Reader) http.Header {
-	have, _ := in.Peek(in.Buffered())
-	_, have, _ = bytes.Cut(have, []byte("\n"))      // the first line
-	have = have[:bytes.LastIndexByte(have, '\n')+1] // whole lines only
-	head, _ := textproto.NewReader(bufio.NewReader(bytes.NewReader(have))).ReadMIMEHeader()
-	return http.Header(head) // an error leaves the lines before it
+// bufferedHeader parses as much of the response header as is buffered, without waiting for more. A delivery is
+// reported at once, together with its load report if that was received along with the status line, as it is if the
+// endpoint wrote the header in one piece.
+func bufferedHeader(in *bufio.Reader) http.Header {
+	buffered, _ := in.Peek(in.Buffered())
+	_, buffered, _ = bytes.Cut(buffered, []byte("\n"))          // skips the status line
+	buffered = buffered[:bytes.LastIndexByte(buffered, '\n')+1] // complete lines only
+	header, _ := textproto.NewReader(bufio.NewReader(bytes.NewReader(buffered))).ReadMIMEHeader()
+	return http.Header(header) // on an error it holds the fields before the invalid line
 }
 
-// bound ends the reading of an answer of which nothing has come for some time.
-// What does come gives it as long again, within the call's own limit.
-func (c *poolConn) bound(d time.Duration) (stop func() bool) {
-	c.pause = d
-	c.stalled = time.AfterFunc(d, func() { c.SetReadDeadline(clock.Past) })
+// startStallTimer aborts reading once no byte of a response has arrived for d. Each read that brings data restarts
+// the timer; the timeout of the call applies all the same.
+func (c *poolConn) startStallTimer(d time.Duration) (stop func() bool) {
+	c.stallTimeout = d
+	c.stallTimer = time.AfterFunc(d, func() { c.SetReadDeadline(clock.Past) })
 	return func() bool {
-		c.pause = 0
-		return c.stalled.Stop()
+		c.stallTimeout = 0
+		return c.stallTimer.Stop()
 	}
 }
 
-// read maps the head of an answer other than 200 to an outcome. An error means
-// that the head cannot be believed.
-func (o *outcome) read(head http.Header) error {
-	switch o.status {
+// applyStatus sets the outcome by the status and the header of a response other than 200. An error means that the
+// header is invalid.
+func (r *callResult) applyStatus(header http.Header) error {
+	switch r.status {
 	case http.StatusTooManyRequests:
-		wait, err := retryAfter(head.Get("Retry-After"))
+		retryAfter, err := parseRetryAfter(header.Get("Retry-After"))
 		if err != nil {
 			return err
 		}
-		o.what, o.wait = decide.Full, wait
+		r.outcome, r.retryAfter = decide.Full, retryAfter
 	case http.StatusServiceUnavailable:
-		if o.what = decide.Full; head.Get("Slots-Taken") == "1" {
-			o.what, o.slots = decide.NotSent, true
+		if r.outcome = decide.Full; header.Get("Slots-Taken") == "1" {
+			r.outcome, r.slotsTaken = decide.NotSent, true
 		}
-	case http.StatusGatewayTimeout: // has had all its attempts
-		o.what = decide.NotSent
+	case http.StatusGatewayTimeout: // the message has used up its attempts at the endpoint
+		r.outcome = decide.NotSent
 	case http.StatusGone:
-		o.what, o.settled = decide.NotSent, true
-	default: // 500, and what no page names: it may have run
-		o.what = decide.Errored
+		r.outcome, r.settled = decide.NotSent, true
+	default: // 500, and statuses that the protocol does not define: the call may have run
+		r.outcome = decide.Errored
 	}
 	return nil
 }
 
-// Words for how one message of a batch ended.
-var batchEnds = map[string]ending{
+// batchStates maps the states of messages in the response to a batch to results.
+var batchStates = map[string]itemResult{
 	"accepted": {decide.Delivered, true},
 	"fault":    {decide.Errored, false},
 	"deferred": {decide.Full, false},
@@ -529,84 +542,85 @@
 	"no_more":  {decide.NotSent, false},
 }
 
-// readBatch maps the answer to a call with several messages. An error means
-// that it cannot be believed. A message that it does not name may have run.
-func (o *outcome) readBatch(head http.Header, body []byte, parts []part) error {
-	switch o.status {
+// applyBatch sets the results by the response to a call with several messages. An error means that the response is
+// invalid. A message that the response does not name may have run.
+func (r *callResult) applyBatch(header http.Header, body []byte, items []callItem) error {
+	switch r.status {
 	case http.StatusOK:
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		o.what = decide.NotSent // none of them has run
+		r.outcome = decide.NotSent // no message of the batch has run
 		return nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return o.read(head)
-	default: // what else says that a message is over says it of one alone
-		o.what = decide.Errored
+		return r.applyStatus(header)
+	default: // the other statuses that settle a message are defined for a single message only
+		r.outcome = decide.Errored
 		return nil
 	}
-	var said []struct{ ID, State string }
-	if err := json.Unmarshal(body, &said); err != nil {
+	var states []struct{ ID, State string }
+	if err := json.Unmarshal(body, &states); err != nil {
 		return err
 	}
-	wait, err := retryAfter(head.Get("Retry-After"))
+	retryAfter, err := parseRetryAfter(header.Get("Retry-After"))
 	if err != nil {
 		return err
 	}
-	o.what, o.wait, o.ends = decide.Errored, wait, make(map[string]ending, len(said))
-	for _, x := range said {
-		end, ok := batchEnds[x.State]
-		if !ok || !slices.ContainsFunc(parts, func(p part) bool { return p.rec.ID == x.ID }) {
-			return fmt.Errorf("answer says %.40q of message %.40q", x.State, x.ID)
+	r.outcome, r.retryAfter, r.itemResults = decide.Errored, retryAfter, make(map[string]itemResult, len(states))
+	for _, x := range states {
+		result, ok := batchStates[x.State]
+		if !ok || !slices.ContainsFunc(items, func(item callItem) bool { return item.rec.ID == x.ID }) {
+			return fmt.Errorf("unknown state or message in the response: state %.40q, message %.40q", x.State, x.ID)
 		}
-		if _, twice := o.ends[x.ID]; twice {
-			return fmt.Errorf("answer names message %.40q twice", x.ID)
+		if _, duplicate := r.itemResults[x.ID]; duplicate {
+			return fmt.Errorf("duplicate message %.40q in the response", x.ID)
 		}
-		o.ends[x.ID] = end
+		r.itemResults[x.ID] = result
 	}
 	return nil
 }
 
-// retryAfter reads seconds with decimals. None told is no wait.
-func retryAfter(s string) (decide.Time, error) {
-	if s = strings.TrimSpace(s); s == "" {
+// parseRetryAfter parses seconds with decimals. An empty value is no wait.
+func parseRetryAfter(text string) (decide.Time, error) {
+	if text = strings.TrimSpace(text); text == "" {
 		return 0, nil
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= 0 && v <= longestWait.Seconds()) {
-		return 0, fmt.Errorf("Retry-After: %.40q", s)
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(seconds >= 0 && seconds <= maxRetryAfter.Seconds()) {
+		return 0, fmt.Errorf("invalid Retry-After header: %.40q", text)
 	}
-	return decide.Time(v * 1e6), nil
+	return decide.Time(seconds * 1e6), nil
 }
 
-// readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l decide.Load) {
+// parseLoad parses a load report such as x0=0.4,x1=25. It ignores invalid values, and the whole report if fields is
+// empty.
+func parseLoad(text string, fields []string) (load decide.Load) {
 	if len(fields) == 0 {
-		return l
+		return load
 	}
-	for part := range strings.SplitSeq(s, ",") {
-		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= 0 && v <= loadMost) {
+	for part := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		v, err := strconv.ParseFloat(value, 64)
+		if err != nil || !(v >= 0 && v <= maxLoadValue) {
 			continue
 		}
 		switch name {
 		case "x0":
-			l.Left = v
+			load.Left = v
 		case "x1":
-			l.Limit = v
+			load.Limit = v
 		}
 	}
-	return l
+	return load
 }
 
-// probe asks an endpoint whether it is alive.
-func probe(ctx context.Context, h *home) outcome {
-	clk := h.pool.clock
-	began := clk.Now()
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+// probe sends a health check to an endpoint.
+func probe(ctx context.Context, host *hostPool) callResult {
+	clk := host.pool.clock
+	started := clk.Now()
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	o := outcome{what: decide.NotSent}
-	if o.err = func() error {
-		req, err := http.NewRequest(http.MethodGet, "http://"+h.addr+probePath, nil)
+	result := callResult{outcome: decide.NotSent}
+	if result.err = func() error {
+		req, err := http.NewRequest(http.MethodGet, "http://"+host.addr+probePath, nil)
 		if err != nil {
 			return err
 		}
@@ -614,30 +628,32 @@
 		if err := req.Write(&text); err != nil {
 			return err
 		}
-		conn, err := h.get(ctx)
-		if err == errNoRoom {
+		conn, err := host.get(ctx)
+		if err == errPoolFull {
 			return err
 		}
 		if err != nil {
-			o.what = notConnected(err)
+			result.outcome = unsentOutcome(err)
 			return err
 		}
-		o.what = decide.NoConnect
-		conn.left = answerMost
+		result.outcome = decide.NoConnect
+		conn.readBudget = maxResponseBytes
 		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
-		keep := false
-		if err = conn.write(ctx, text.Bytes(), func() bool { return true }); err == nil {
-			keep = readAnswer(conn, req, nil, nil, func(x outcome) { o.what, o.status, err = x.what, x.status, x.err })
+		reusable := false
+		if err = conn.writeRequest(ctx, text.Bytes(), func() bool { return true }); err == nil {
+			reusable = readResponse(conn, req, nil, nil, func(response callResult) {
+				result.outcome, result.status, err = response.outcome, response.status, response.err
+			})
 		}
-		if !unwatch() || !keep {
-			conn.drop()
+		if !unwatch() || !reusable {
+			conn.discard()
 		} else {
 			conn.put()
 		}
 		return err
-	}(); ctx.Err() != nil && o.status == 0 {
-		o.what = decide.TimedOut
+	}(); ctx.Err() != nil && result.status == 0 {
+		result.outcome = decide.TimedOut
 	}
-	o.took = clock.Since(clk, began).Microseconds()
-	return o
+	result.elapsed = clock.Since(clk, started).Microseconds()
+	return result
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -16,7 +16,7 @@
 	"troutusher/internal/clock"
 )
 
-func testSet(t testing.TB) *Config {
+func parseTestConfig(t testing.TB) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 		testSettings+`}`), func(string) string { return "" }, false)
@@ -28,44 +28,44 @@
 
 func newTestCall() *call {
 	ctx, stop := context.WithCancelCause(context.Background())
-	return &call{ctx: ctx, stop: stop}
+	return &call{ctx: ctx, cancel: stop}
 }
 
 const testLimit = 20 * time.Second
 
-func testPart(id string) []part { return []part{{rec: &record{ID: id}, limit: testLimit}} }
+func testItems(id string) []callItem { return []callItem{{rec: &record{ID: id}, timeout: testLimit}} }
 
-// testPool is a pool as a relay has it; what it holds open at the end is a leak.
+// testPool returns a pool with the timeouts of a relay. A connection that is still open after the test is a leak.
 func testPool(t *testing.T) *pool {
 	t.Helper()
 	p := newPool(clock.System(), 1500*time.Millisecond, 9*time.Second, 64)
 	t.Cleanup(func() {
 		p.sweep(func(*poolConn) bool { return true })
 		if open, _ := p.counts(); open != 0 {
-			t.Errorf("%d connections left open", open)
+			t.Errorf("connections open after the test: got %d, want 0", open)
 		}
 	})
 	return p
 }
 
-// made makes a call to its end and gives its one outcome.
-func (c *call) made(t *testing.T, h *home, rec *record, limit time.Duration) outcome {
+// runForResult executes a call with one message and returns its only result.
+func (c *call) runForResult(t *testing.T, h *hostPool, rec *record, limit time.Duration) callResult {
 	t.Helper()
-	told := make(chan outcome, 4)
-	c.run(h, []part{{rec: rec, limit: limit}}, nil, func(_ *message, o outcome) { told <- o })
+	told := make(chan callResult, 4)
+	c.run(h, []callItem{{rec: rec, timeout: limit}}, nil, func(_ *message, o callResult) { told <- o })
 	if len(told) != 1 {
-		t.Fatalf("told %d outcomes, want 1", len(told))
+		t.Fatalf("reported results: got %d, want 1", len(told))
 	}
 	return <-told
 }
 
-// settled waits until a kept connection may be used again.
-func settled(h *home) {
+// waitReusable waits until the idle connections may be used again.
+func waitReusable(h *hostPool) {
 	for {
 		h.pool.mu.Lock()
 		ready := true
 		for _, c := range h.pool.idle {
-			ready = ready && clock.Since(h.pool.clock, c.at) >= poolSettle
+			ready = ready && clock.Since(h.pool.clock, c.idleSince) >= connReuseDelay
 		}
 		h.pool.mu.Unlock()
 		if ready {
@@ -75,7 +75,7 @@
 	}
 }
 
-// rawEndpoint serves connections by hand, for what no HTTP server does.
+// rawEndpoint is an endpoint that serves raw TCP connections, for responses that no HTTP server would send.
 func rawEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,7 +95,7 @@
 	return ln.Addr().String()
 }
 
-// readCall reads one whole call off a connection.
+// readCall reads one complete request from a connection.
 func readCall(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return err == nil
 }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomeByResponse(t *testing.T) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			if readCall(bufio.NewReader(c)) {
@@ -120,33 +120,33 @@
 		slots   bool
 		settled bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"broken after":       {serve: say(""), what: decide.Reset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: decide.Errored},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: decide.Reset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
+		"delivered":                 {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
+		"delivered, body cut off":   {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
+		"error":                     {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
+		"Retry-After":               {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
+		"unavailable":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
+		"slots taken":               {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
+		"attempts used up":          {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
+		"gone":                      {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
+		"undefined status":          {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
+		"redirect is not followed":  {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
+		"closed without a response": {serve: say(""), what: decide.Reset},
+		"invalid status line":       {serve: say("what?\r\n\r\n"), what: decide.Errored},
+		"incomplete status line":    {serve: say("HTTP/1.1 20"), what: decide.Reset},
+		"interim response first":    {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := testPool(t).home(rawEndpoint(t, x.serve))
-			o := newTestCall().made(t, h, &record{ID: "m", Key: "k", body: []byte("b")}, testLimit)
-			if o.what != x.what || o.wait != x.wait || o.slots != x.slots || o.settled != x.settled {
-				t.Errorf("got %+v", o)
+			h := testPool(t).forHost(rawEndpoint(t, x.serve))
+			o := newTestCall().runForResult(t, h, &record{ID: "m", Key: "k", body: []byte("b")}, testLimit)
+			if o.outcome != x.what || o.retryAfter != x.wait || o.slotsTaken != x.slots || o.settled != x.settled {
+				t.Errorf("result: got %+v, want that of the case", o)
 			}
 		})
 	}
 }
 
-// Guards the difference between what never ran and what may have: a refused
-// connection never ran, silence after the last byte may have.
+// Guards the distinction between calls that have not run and calls that may have run. A call whose connection was
+// refused has not run; a call without a response after its last byte may have run.
 func TestOutcomesWithoutAnswer(t *testing.T) {
 	p := testPool(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,8 +155,8 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().made(t, p.home(refused), &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
-		t.Errorf("refused: %+v", o)
+	if o := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect {
+		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
 	}
 	gone := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
@@ -164,25 +164,24 @@
 		in := bufio.NewReader(c)
 		readCall(in)
 		entered <- struct{}{}
-		in.ReadByte() // until the caller closes
+		in.ReadByte() // until the relay closes the connection
 		gone <- struct{}{}
 	})
-	if o := newTestCall().made(t, p.home(silent), &record{ID: "m"}, 50*time.Millisecond); o.what != decide.TimedOut {
-		t.Errorf("silent: %+v", o)
+	if o := newTestCall().runForResult(t, p.forHost(silent), &record{ID: "m"}, 50*time.Millisecond); o.outcome != decide.TimedOut {
+		t.Errorf("call without a response: got %+v, want the outcome TimedOut", o)
 	}
 	<-entered
-	<-gone // giving up closes the connection
+	<-gone // a call that times out closes its connection
 	c := newTestCall()
-	go func() { <-entered; c.stop(errCancelled) }()
-	if o := c.made(t, p.home(silent), &record{ID: "m"}, testLimit); o.what != decide.Cancelled {
-		t.Errorf("cancelled: %+v", o)
+	go func() { <-entered; c.cancel(errCancelled) }()
+	if o := c.runForResult(t, p.forHost(silent), &record{ID: "m"}, testLimit); o.outcome != decide.Cancelled {
+		t.Errorf("cancelled call: got %+v, want the outcome Cancelled", o)
 	}
 	<-gone
 }
 
-// Guards against a call that is sent again by itself where a kept-alive
-// connection breaks under it.
-func TestNoResendByItself(t *testing.T) {
+// Guards against a call that is sent a second time automatically because its kept-alive connection broke.
+func TestNoAutomaticResend(t *testing.T) {
 	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
@@ -190,69 +189,69 @@
 				in := bufio.NewReader(c)
 				for readCall(in) {
 					if calls.Add(1) == 2 {
-						return // the second call on a kept connection breaks
+						return // closes the kept connection under the second call
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			h := testPool(t).home(addr)
+			h := testPool(t).forHost(addr)
 			rec := &record{ID: "m", Key: "k", body: body}
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Delivered {
-				t.Fatalf("first: %+v", o)
+			if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Delivered {
+				t.Fatalf("first call: got %+v, want the outcome Delivered", o)
 			}
-			settled(h)
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Reset {
-				t.Errorf("second: %+v", o)
+			waitReusable(h)
+			if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Reset {
+				t.Errorf("second call: got %+v, want the outcome Reset", o)
 			}
 			if n := calls.Load(); n != 2 {
-				t.Errorf("the endpoint saw %d calls, want 2", n)
+				t.Errorf("calls that the endpoint received: got %d, want 2", n)
 			}
 		})
 	}
-	req, err := newCallRequest("127.0.0.1:1", []part{{rec: &record{ID: "m", Key: "k", body: []byte("b")}}}, time.Second)
+	req, err := newCallRequest("127.0.0.1:1", []callItem{{rec: &record{ID: "m", Key: "k", body: []byte("b")}}}, time.Second)
 	if err != nil || req.GetBody != nil {
-		t.Errorf("request can be rewound: GetBody %v, err %v", req.GetBody != nil, err)
+		t.Errorf("newCallRequest: got GetBody set: %v, error: %v, want neither", req.GetBody != nil, err)
 	}
 }
 
-// Guards the drain grace: a call that waits for its connection when the word
-// of a drain comes must not begin when the connection is there at last.
-func TestDrainStopsWaitingCall(t *testing.T) {
+// Guards the drain grace: a call that is waiting for its connection when its endpoint drains must not be sent once
+// the connection is established.
+func TestDrainCancelsUnsentCall(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	p := testPool(t)
 	dialing, release := make(chan struct{}), make(chan struct{})
-	h := p.home(ep.addr())
+	h := p.forHost(ep.addr())
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
 		return net.Dial("tcp", addr)
 	}
 	c := newTestCall()
-	go func() { <-dialing; c.withhold(errDrained); close(release) }()
-	if o := c.made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NotSent {
-		t.Errorf("got %+v", o)
+	go func() { <-dialing; c.cancelUnsent(errDrained); close(release) }()
+	if o := c.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
+		t.Errorf("call cancelled while dialing: got %+v, want the outcome NotSent", o)
 	}
 	if n := ep.count("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+		t.Errorf("calls that the endpoint received: got %d, want 0", n)
 	}
-	// The word may also come just as the connection does.
+	// The drain may also arrive just as the connection is established.
 	late := newTestCall()
-	late.stage.Store(callStopped)
-	if o := late.made(t, p.home(ep.addr()), &record{ID: "late"}, testLimit); o.what != decide.NotSent || ep.count("late") != 0 {
-		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
+	late.stage.Store(callCancelled)
+	if o := late.runForResult(t, p.forHost(ep.addr()), &record{ID: "late"}, testLimit); o.outcome != decide.NotSent || ep.count("late") != 0 {
+		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", o, ep.count("late"))
 	}
-	// What is under way already is not stopped.
+	// A call that is being sent is not cancelled.
 	under := newTestCall()
 	under.stage.Store(callSending)
-	if under.withhold(errDrained); under.ctx.Err() != nil {
-		t.Error("a call with bytes under way was stopped")
+	if under.cancelUnsent(errDrained); under.ctx.Err() != nil {
+		t.Error("a call that was being sent was cancelled")
 	}
 }
 
-// Guards a told wait: it binds calls that were begun before it and still wait
-// for a connection, on the route that told it, or on all endpoints of a
-// destination whose endpoints are not routes apart, and on no other.
-func TestToldWaitStopsWaitingCalls(t *testing.T) {
+// Guards Retry-After: it cancels calls that started earlier and still wait for a connection. It applies to the
+// endpoint that sent it if that is a separate route, and otherwise to all endpoints of its destination, but to no
+// other.
+func TestRetryAfterCancelsUnsentCalls(t *testing.T) {
 	for _, apart := range []bool{true, false} {
 		r := testRelay(t)
 		r.cfg.Policy.Kinds = []decide.Kind{{Apart: apart, Batch: 1}}
@@ -275,47 +274,47 @@
 		under.ep.calls[under] = true
 		told := newTestCall()
 		told.ep = calls[0].ep
-		r.returned(told, nil, &outcome{what: decide.Full, wait: 700e3})
+		r.returned(told, nil, &callResult{outcome: decide.Full, retryAfter: 700e3})
 		for i, stopped := range []bool{true, !apart, false} {
-			if got := calls[i].stage.Load() == callStopped; got != stopped || got != (calls[i].ctx.Err() != nil) {
-				t.Errorf("apart %v: call to endpoint %d stopped: %v, want %v", apart, i, got, stopped)
+			if got := calls[i].stage.Load() == callCancelled; got != stopped || got != (calls[i].ctx.Err() != nil) {
+				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", apart, i, got, stopped)
 			}
 			if got := calls[i].ep.waitUntil > r.now(); got != stopped {
-				t.Errorf("apart %v: endpoint %d waits: %v, want %v", apart, i, got, stopped)
+				t.Errorf("separate routes %v: endpoint %d waits: got %v, want %v", apart, i, got, stopped)
 			}
 		}
 		if under.ctx.Err() != nil {
-			t.Errorf("apart %v: a call with bytes under way was stopped", apart)
+			t.Errorf("separate routes %v: a call that was being sent was cancelled", apart)
 		}
 	}
 }
 
-// Guards against connections that died in silence: after a machine was away,
-// what is idle to it is given up; one slow call among others is no reason.
-func TestSuspect(t *testing.T) {
+// Guards against dead idle connections: after an endpoint's machine was unreachable its idle connections are closed.
+// One slow call while others get responses is no reason to close them.
+func TestDeadIdleConnectionsAreClosed(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
-		o    outcome
+		o    callResult
 		now  decide.Time
 		want bool
 	}{
-		{outcome{what: decide.Delivered, status: 200, took: 10}, 1000, false},
-		{outcome{what: decide.TimedOut, took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{outcome{what: decide.TimedOut, took: 500}, 2000, true},
-		{outcome{what: decide.Reset}, 2100, false}, // 1000 was answered: one connection broke
-		{outcome{what: decide.Reset}, 1000 + aliveWait + 1, true},
-		{outcome{what: decide.NoConnect}, 2200, true},
-		{outcome{what: decide.Full, status: 503}, 2300, false},
-		{outcome{what: decide.Cancelled, took: 50}, 2320, false},
+		{callResult{outcome: decide.Delivered, status: 200, elapsed: 10}, 1000, false},
+		{callResult{outcome: decide.TimedOut, elapsed: 500}, 1100, false}, // sent at 600, and the endpoint responded at 1000
+		{callResult{outcome: decide.TimedOut, elapsed: 500}, 2000, true},
+		{callResult{outcome: decide.Reset}, 2100, false}, // the endpoint responded at 1000: a single connection broke
+		{callResult{outcome: decide.Reset}, 1000 + recentResponseWindow + 1, true},
+		{callResult{outcome: decide.NoConnect}, 2200, true},
+		{callResult{outcome: decide.Full, status: 503}, 2300, false},
+		{callResult{outcome: decide.Cancelled, elapsed: 50}, 2320, false},
 	} {
-		if got := ep.suspect(&x.o, x.now); got != x.want {
-			t.Errorf("%d: %v", i, got)
+		if got := ep.recordResult(&x.o, x.now); got != x.want {
+			t.Errorf("case %d: idle connections to be closed: got %v, want the opposite", i, got)
 		}
 	}
 }
 
-// Guards reuse: a new connection costs a handshake, so answers are read to
-// their end and more than two connections are kept after a burst.
+// Guards connection reuse: a new connection costs a handshake, so responses are read to their end and more than two
+// connections are kept after a burst.
 func TestConnectionsAreKept(t *testing.T) {
 	var conns atomic.Int32
 	const burst = 6
@@ -325,89 +324,89 @@
 		in := bufio.NewReader(c)
 		for readCall(in) {
 			together <- struct{}{}
-			for len(together) < burst { // all of a burst are out at once
+			for len(together) < burst { // all calls of a burst are in flight together
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	h := testPool(t).home(addr)
+	h := testPool(t).forHost(addr)
 	for round := range 2 {
-		done, ended := make(chan outcome, burst), make(chan bool, burst)
+		done, ended := make(chan callResult, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				newTestCall().run(h, testPart("m"), nil, func(_ *message, o outcome) { done <- o })
+				newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { done <- o })
 				ended <- true
 			}()
 		}
 		for range burst {
-			if o := <-done; o.what != decide.Delivered {
-				t.Fatalf("round %d: %+v", round, o)
+			if o := <-done; o.outcome != decide.Delivered {
+				t.Fatalf("burst %d: got %+v, want the outcome Delivered", round, o)
 			}
 			<-ended
 		}
-		settled(h)
+		waitReusable(h)
 		for len(together) > 0 {
 			<-together
 		}
 	}
 	if n := conns.Load(); n != burst {
-		t.Errorf("%d connections for two bursts of %d", n, burst)
+		t.Errorf("connections for two bursts: got %d, want %d", n, burst)
 	}
 }
 
-func TestReadRetryAfter(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
-		got, err := retryAfter(s)
+		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
-			t.Errorf("%q: %d, %v, want %d", s, got, err, want)
+			t.Errorf("Retry-After %q: got %d, error %v, want %d (-1 for an error)", s, got, err, want)
 		}
 	}
 }
 
-func TestReadLoad(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
-		if got := readLoad(s, fields); got != want {
-			t.Errorf("%q: %+v", s, got)
+		if got := parseLoad(s, fields); got != want {
+			t.Errorf("load report %q: got %+v, want that of the case", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (decide.Load{}) {
-		t.Errorf("a report where none is due: %+v", got)
+	if got := parseLoad("x0=1", nil); got != (decide.Load{}) {
+		t.Errorf("load report without configured fields: got %+v, want none", got)
 	}
 }
 
-// Guards what most answers tell: a report comes with a delivery too, also to a
-// single message, and one that is late or cut off holds nothing up.
-func TestReportOfADelivery(t *testing.T) {
+// Guards the load reports in successful responses, also to a call with a single message. A report that arrives late
+// or is cut off does not delay the result.
+func TestLoadReportOfADelivery(t *testing.T) {
 	const first, load = "HTTP/1.1 200 OK\r\n", "X-Server-Load: x0=0.4,x1=25\r\n"
 	for name, x := range map[string]struct {
 		parts []string
 		want  decide.Load
 	}{
-		"at once":  {[]string{first + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
-		"none":     {[]string{first + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
-		"cut":      {[]string{first + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
-		"nonsense": {[]string{first + "x1=25\r\n\r\n"}, decide.Load{}},
-		"late":     {[]string{first, load + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
+		"with the status line":  {[]string{first + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
+		"no report":             {[]string{first + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
+		"cut off":               {[]string{first + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
+		"invalid header":        {[]string{first + "x1=25\r\n\r\n"}, decide.Load{}},
+		"after the status line": {[]string{first, load + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := make(chan outcome, 4)
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			told := make(chan callResult, 4)
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if !readCall(bufio.NewReader(c)) {
 					return
 				}
 				for i, text := range x.parts {
-					if i > 0 { // not before the first was read
+					if i > 0 { // waits for the result of the first part
 						o := <-told
 						told <- o
 					}
 					io.WriteString(c, text)
 				}
 			}))
-			newTestCall().run(h, testPart("m"), []string{"x0", "x1"}, func(_ *message, o outcome) { told <- o })
-			if o := <-told; o.what != decide.Delivered || o.load != x.want {
-				t.Errorf("got %+v", o)
+			newTestCall().run(h, testItems("m"), []string{"x0", "x1"}, func(_ *message, o callResult) { told <- o })
+			if o := <-told; o.outcome != decide.Delivered || o.load != x.want {
+				t.Errorf("result: got %+v, want the outcome Delivered and the load of the case", o)
 			}
 		})
 	}
@@ -416,8 +415,8 @@
 func TestProbe(t *testing.T) {
 	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Full, 404: decide.Errored} {
 		ep := newFakeEndpoint(t, status(code))
-		if o := probe(context.Background(), testPool(t).home(ep.addr())); o.what != want {
-			t.Errorf("%d: %+v", code, o)
+		if o := probe(context.Background(), testPool(t).forHost(ep.addr())); o.outcome != want {
+			t.Errorf("probe with status %d: got %+v, want the outcome of the case", code, o)
 		}
 	}
 }
--- a/internal/relay/faulty_accept_test.go
+++ b/internal/relay/faulty_accept_test.go
@@ -16,7 +16,7 @@
 	const span = 200 * time.Millisecond
 	serve := map[string]func(net.Listener){
 		"clients": func(ln net.Listener) {
-			newClients(testSet(t), clock.System(), quietLog(), accept, func(*request, bool) {}).serve(ln)
+			newClients(parseTestConfig(t), clock.System(), quietLog(), accept, func(*request, bool) {}).serve(ln)
 		},
 		"operators": func(ln net.Listener) {
 			(&ops{calls: opsCalls{"READY": func() (string, bool) { return "ready", true }}, clock: clock.System(), log: quietLog()}).serve(ln)
--- a/internal/relay/faulty_agent_test.go
+++ b/internal/relay/faulty_agent_test.go
@@ -20,8 +20,8 @@
 	for _, errno := range append(append([]syscall.Errno{}, localErrnos...), remoteErrnos...) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			dials := &schedule{calls: 1 << 30, errno: errno}
-			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), quietLog(), func(context.Context) (membership.Receiver, error) { return nil, errOlder })
+			dials := &faultSchedule{failures: 1 << 30, errno: errno}
+			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), quietLog(), func(context.Context) (membership.Receiver, error) { return nil, errStaleList })
 			d.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				dials.next()
 				return nil, opError("dial", "connect", errno)
@@ -42,13 +42,13 @@
 	for _, errno := range append(append([]syscall.Errno{}, localErrnos...), remoteErrnos...) {
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			dials := &schedule{calls: 1 << 30, errno: errno}
+			dials := &faultSchedule{failures: 1 << 30, errno: errno}
 			n := newNotices("127.0.0.1:1", clock.System(), quietLog(), func(string) {})
 			n.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				dials.next()
 				return nil, opError("dial", "connect", errno)
 			}
-			n.in.put(notice{Message: "m", Outcome: endGivenUp, until: clock.System().Now().Add(time.Minute)})
+			n.incoming.put(notice{Message: "m", Outcome: noticeGivenUp, deadline: clock.System().Now().Add(time.Minute)})
 			ctx, cancel := context.WithTimeout(context.Background(), span)
 			defer cancel()
 			n.run(ctx)
--- a/internal/relay/faulty_call_test.go
+++ b/internal/relay/faulty_call_test.go
@@ -14,97 +14,100 @@
 	"troutusher/decide"
 )
 
-// textLength is the length of a call's text.
-func textLength(t *testing.T, h *home, rec *record) int {
+// requestLength is the length of a call's request in bytes.
+func requestLength(t *testing.T, h *hostPool, rec *record) int {
 	t.Helper()
-	_, text, err := callText(h.addr, []part{{rec: rec, limit: testLimit}}, 0)
+	_, text, err := encodeCall(h.addr, []callItem{{rec: rec, timeout: testLimit}}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return len(text)
 }
 
-// A write that breaks at any byte of a call: the call is begun anew elsewhere and
-// runs once, and where each try breaks it has never run.
+// Guards against duplicates and losses if the write of a call fails at any byte. The call is sent again on another
+// connection and runs once. If the write fails on each connection the call has not run.
 func TestWriteBreaksAtEachByte(t *testing.T) {
 	rec := &record{ID: "m", body: []byte("body")}
-	addr, calls := counted(t)
-	length := textLength(t, testPool(t).home(addr), rec)
+	addr, calls := countingEndpoint(t)
+	length := requestLength(t, testPool(t).forHost(addr), rec)
 	for at := range length {
 		errno := brokenErrnos[at%len(brokenErrnos)]
 		p := testPool(t)
-		p.moment = time.Microsecond
-		h := p.home(addr)
+		p.lastByteDelay = time.Microsecond
+		h := p.forHost(addr)
 		dial, dials := h.dial, 0
 		h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, addr)
 			if dials++; err != nil || dials > 1 {
 				return conn, err
 			}
-			return &faultyConn{TCPConn: conn.(*net.TCPConn), writeFail: at, writeErrno: errno, writeFails: 1}, nil
+			return &faultyConn{TCPConn: conn.(*net.TCPConn), failWriteAt: at, writeErrno: errno, writeFailures: 1}, nil
 		}
 		before := calls.Load()
-		if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Delivered || dials != 2 || calls.Load() != before+1 {
-			t.Fatalf("byte %d, %v: %d connections, %d calls, %+v", at, errno, dials, calls.Load()-before, o)
+		if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Delivered || dials != 2 || calls.Load() != before+1 {
+			t.Fatalf("write fails at byte %d with %v: got %d connections, %d calls, result %+v, want 2, 1 and Delivered",
+				at, errno, dials, calls.Load()-before, o)
 		}
 	}
 	for _, errno := range brokenErrnos {
 		for _, at := range []int{0, 1, length / 2, length - 2, length - 1} {
-			h := testPool(t).home(addr)
+			h := testPool(t).forHost(addr)
 			dial := h.dial
 			h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, addr)
-				return &faultyConn{TCPConn: conn.(*net.TCPConn), writeFail: at, writeErrno: errno, writeFails: 1}, err
+				return &faultyConn{TCPConn: conn.(*net.TCPConn), failWriteAt: at, writeErrno: errno, writeFailures: 1}, err
 			}
 			before := calls.Load()
-			o := newTestCall().made(t, h, rec, testLimit)
-			if o.what != decide.NoConnect || calls.Load() != before {
-				t.Errorf("byte %d of each, %v: %d calls, %+v", at, errno, calls.Load()-before, o)
+			o := newTestCall().runForResult(t, h, rec, testLimit)
+			if o.outcome != decide.NoConnect || calls.Load() != before {
+				t.Errorf("each write fails at byte %d with %v: got %d calls, result %+v, want 0 and NoConnect",
+					at, errno, calls.Load()-before, o)
 			}
 		}
 	}
 }
 
-// A write that the machine has no memory for, or that a signal interrupts, goes on
-// where it stopped: the call runs once, on its first connection but for the last byte.
-func TestWriteFailsForAMoment(t *testing.T) {
+// Guards writes that fail for lack of memory or are interrupted by a signal. They continue where they stopped, except
+// for the last byte, which is not retried: the call runs once, on its first connection.
+func TestTransientWriteFailure(t *testing.T) {
 	rec := &record{ID: "m", body: []byte("body")}
-	addr, calls := counted(t)
-	length := textLength(t, testPool(t).home(addr), rec)
+	addr, calls := countingEndpoint(t)
+	length := requestLength(t, testPool(t).forHost(addr), rec)
 	for _, errno := range transientErrnos {
 		for at := 0; at < length; at += 11 {
-			h := testPool(t).home(addr)
+			h := testPool(t).forHost(addr)
 			dial, dials := h.dial, 0
 			h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				dials++
 				conn, err := dial(ctx, addr)
-				return &faultyConn{TCPConn: conn.(*net.TCPConn), writeFail: at, writeErrno: errno, writeFails: 2}, err
+				return &faultyConn{TCPConn: conn.(*net.TCPConn), failWriteAt: at, writeErrno: errno, writeFailures: 2}, err
 			}
 			before := calls.Load()
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Delivered || dials != 1 || calls.Load() != before+1 {
-				t.Errorf("byte %d, %v: %d connections, %d calls, %+v", at, errno, dials, calls.Load()-before, o)
+			if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Delivered || dials != 1 || calls.Load() != before+1 {
+				t.Errorf("transient failure at byte %d with %v: got %d connections, %d calls, result %+v, want 1, 1 and Delivered",
+					at, errno, dials, calls.Load()-before, o)
 			}
 		}
-		h := testPool(t).home(addr)
+		h := testPool(t).forHost(addr)
 		dial := h.dial
 		h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			conn, err := dial(ctx, addr)
-			return &faultyConn{TCPConn: conn.(*net.TCPConn), writeFail: length / 2, writeErrno: errno, writeFails: 1 << 30}, err
+			return &faultyConn{TCPConn: conn.(*net.TCPConn), failWriteAt: length / 2, writeErrno: errno, writeFailures: 1 << 30}, err
 		}
 		before := calls.Load()
-		if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.NotSent || calls.Load() != before {
-			t.Errorf("%v without end: %d calls, %+v", errno, calls.Load()-before, o)
+		if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.NotSent || calls.Load() != before {
+			t.Errorf("each write fails with %v: got %d calls, result %+v, want 0 and NotSent", errno, calls.Load()-before, o)
 		}
 	}
 }
 
-// lastByte reports an error for the write of a call's last byte, which arrives.
-type lastByte struct {
+// lastByteErrorConn sends the last byte of a call, but reports an error for that write.
+type lastByteErrorConn struct {
 	*net.TCPConn
 	errno syscall.Errno
 }
 
-func (c *lastByte) Write(b []byte) (int, error) {
+func (c *lastByteErrorConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	if len(b) == 1 && err == nil {
 		err = opError("write", "write", c.errno)
@@ -112,25 +115,25 @@
 	return n, err
 }
 
-// From the last byte on a call may have run: whatever breaks then, it is not made
-// again by itself, and is not held to be delivered.
+// Guards calls whose connection breaks after the last byte was written: they may have run, so they are neither sent
+// again automatically nor counted as delivered.
 func TestBreaksAfterTheLastByte(t *testing.T) {
 	for _, errno := range append(brokenErrnos, syscall.ENETUNREACH, syscall.ECONNABORTED) {
 		for name, x := range map[string]struct {
-			reads  int    // that come through
-			answer string // as far as it comes
-			write  bool   // the last byte's write says so, too
+			reads  int    // reads that succeed
+			answer string // the part that arrives
+			write  bool   // the write of the last byte fails, too
 			what   decide.Outcome
 		}{
-			"before an answer":    {reads: 1, what: decide.Reset}, // the first read looks whether anything has come
-			"in the first line":   {reads: 2, answer: "HTTP/1.1 2", what: decide.Reset},
-			"in a refusal's head": {reads: 2, answer: "HTTP/1.1 503 F\r\nContent-Le", what: decide.Errored},
-			"the last byte":       {reads: 1, write: true, what: decide.Reset},
+			"before a response":      {reads: 1, what: decide.Reset}, // the first read is the check for unexpected data
+			"in the status line":     {reads: 2, answer: "HTTP/1.1 2", what: decide.Reset},
+			"in the header of a 503": {reads: 2, answer: "HTTP/1.1 503 F\r\nContent-Le", what: decide.Errored},
+			"write of the last byte": {reads: 1, write: true, what: decide.Reset},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, errno), func(t *testing.T) {
 				t.Parallel()
 				var calls atomic.Int32
-				h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+				h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 					in := bufio.NewReader(c)
 					if readCall(in) {
 						calls.Add(1)
@@ -145,43 +148,43 @@
 						return nil, err
 					}
 					tcp := conn.(*net.TCPConn)
-					faulty := &faultyConn{TCPConn: tcp, reads: &schedule{first: x.reads, calls: 1 << 30, errno: errno}}
+					faulty := &faultyConn{TCPConn: tcp, reads: &faultSchedule{first: x.reads, failures: 1 << 30, errno: errno}}
 					if x.write {
 						return &struct {
-							*lastByte
-							reader
-						}{&lastByte{tcp, errno}, reader{faulty}}, nil
+							*lastByteErrorConn
+							faultyReader
+						}{&lastByteErrorConn{tcp, errno}, faultyReader{faulty}}, nil
 					}
 					return faulty, nil
 				}
-				o := newTestCall().made(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
+				o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
 				waitFor(t, "the call", func() bool { return calls.Load() == 1 })
-				if o.what != x.what || o.what.NeverRan() || o.settled {
-					t.Errorf("got %+v", o)
+				if o.outcome != x.what || o.outcome.NeverRan() || o.settled {
+					t.Errorf("result: got %+v, want the outcome of the case", o)
 				}
 			})
 		}
 	}
 }
 
-// reader stands before the Read of a connection that is embedded beside it.
-type reader struct{ faulty *faultyConn }
+// faultyReader overrides the Read method of a connection that is embedded next to it.
+type faultyReader struct{ faulty *faultyConn }
 
-func (r reader) Read(b []byte) (int, error) { return r.faulty.Read(b) }
+func (r faultyReader) Read(b []byte) (int, error) { return r.faulty.Read(b) }
 
-// An answer that is read by single bytes, in pieces by seed, or past errors that are
-// over in a moment is read as it was written.
-func TestAnswerReadInPieces(t *testing.T) {
+// Guards reading a response in pieces: single bytes, pieces of random sizes by a seed, or interrupted by transient
+// errors. The result is the same as for a response read at once.
+func TestResponseReadInPieces(t *testing.T) {
 	for name, x := range map[string]func(*faultyConn){
-		"single bytes": func(c *faultyConn) { c.readMost = 1 },
-		"by seed":      func(c *faultyConn) { c.chunks = newRand(7) },
-		"ENOMEM":       func(c *faultyConn) { c.reads = &schedule{first: 1, calls: 3, errno: syscall.ENOMEM} },
-		"ENOBUFS":      func(c *faultyConn) { c.reads = &schedule{first: 1, calls: 3, errno: syscall.ENOBUFS} },
-		"EINTR":        func(c *faultyConn) { c.reads = &schedule{first: 1, calls: 3, errno: syscall.EINTR} },
+		"single bytes": func(c *faultyConn) { c.maxRead = 1 },
+		"random sizes": func(c *faultyConn) { c.readSizes = newRand(7) },
+		"ENOMEM":       func(c *faultyConn) { c.reads = &faultSchedule{first: 1, failures: 3, errno: syscall.ENOMEM} },
+		"ENOBUFS":      func(c *faultyConn) { c.reads = &faultSchedule{first: 1, failures: 3, errno: syscall.ENOBUFS} },
+		"EINTR":        func(c *faultyConn) { c.reads = &faultSchedule{first: 1, failures: 3, errno: syscall.EINTR} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if readCall(bufio.NewReader(c)) {
 					io.WriteString(c, "HTTP/1.1 429 W\r\nRetry-After: 1.5\r\nContent-Length: 3\r\n\r\nabc")
 					io.Copy(io.Discard, c)
@@ -197,18 +200,19 @@
 				x(faulty)
 				return faulty, nil
 			}
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.Full || o.wait != 1500000 {
-				t.Errorf("got %+v", o)
+			if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.Full || o.retryAfter != 1500000 {
+				t.Errorf("result: got %+v, want the outcome Full and a Retry-After of 1500000 us", o)
 			}
 		})
 	}
 }
 
-// What is taken out while the last byte of a call is on its way, and is told to be
-// too late, does not go out on another connection where that byte fails.
-func TestTakenOutAsTheLastByteFails(t *testing.T) {
+// Guards against sending a message that was removed while the last byte of its call was being written. removeMessage
+// reports that it came too late; the write then fails, and the call is sent on another connection without the
+// message.
+func TestMessageRemovedWhileLastByteFails(t *testing.T) {
 	addr, ids := batchTaker(t)
-	h := testPool(t).home(addr)
+	h := testPool(t).forHost(addr)
 	c := newTestCall()
 	over := &message{num: 1}
 	dial, dials := h.dial, 0
@@ -217,30 +221,30 @@
 		if dials++; err != nil || dials > 1 {
 			return conn, err
 		}
-		return &lastByteLost{conn.(*net.TCPConn), func() {
-			if c.takeOut(over) {
-				t.Error("in time, with the last byte committed")
+		return &lastByteLostConn{conn.(*net.TCPConn), func() {
+			if c.removeMessage(over) {
+				t.Error("removeMessage after commitLastByte: got true, want false")
 			}
 		}}, nil
 	}
-	parts := []part{{m: over, rec: &record{ID: "over"}, limit: testLimit}, {m: &message{num: 2}, rec: &record{ID: "a"}, limit: testLimit}}
-	told := make(chan outcome, 1)
-	c.run(h, parts, nil, func(_ *message, o outcome) { told <- o })
-	if o := <-told; o.what != decide.Delivered {
-		t.Errorf("got %+v", o)
+	parts := []callItem{{message: over, rec: &record{ID: "over"}, timeout: testLimit}, {message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit}}
+	told := make(chan callResult, 1)
+	c.run(h, parts, nil, func(_ *message, o callResult) { told <- o })
+	if o := <-told; o.outcome != decide.Delivered {
+		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
 	if got := <-ids; len(got) != 1 || got[0] != "a" {
-		t.Errorf("in the call: %v", got)
+		t.Errorf("messages in the call: got %v, want a", got)
 	}
 }
 
-// lastByteLost fails the write of a single byte, which nobody gets.
-type lastByteLost struct {
+// lastByteLostConn fails the write of a single byte, which is not sent.
+type lastByteLostConn struct {
 	*net.TCPConn
 	failing func()
 }
 
-func (c *lastByteLost) Write(b []byte) (int, error) {
+func (c *lastByteLostConn) Write(b []byte) (int, error) {
 	if len(b) > 1 {
 		return c.TCPConn.Write(b)
 	}
--- a/internal/relay/faulty_client_test.go
+++ b/internal/relay/faulty_client_test.go
@@ -14,8 +14,8 @@
 func serveFaulty(t *testing.T, put func(*request), wrap func(*net.TCPConn) net.Conn) (*clients, string, chan bool) {
 	t.Helper()
 	said := make(chan bool, 64)
-	c := newClients(testSet(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
-	ln := &connListener{listenLocal(t), wrap}
+	c := newClients(parseTestConfig(t), clock.System(), quietLog(), put, func(_ *request, ok bool) { said <- ok })
+	ln := &wrappingListener{listenLocal(t), wrap}
 	go c.serve(ln)
 	return c, ln.Addr().String(), said
 }
@@ -23,14 +23,14 @@
 // Requests that come by single bytes, in pieces by seed, or past errors that are over
 // in a moment are read as they were written, and answered.
 func TestRequestReadInPieces(t *testing.T) {
-	faults := map[string]func(*faultyConn){"single bytes": func(c *faultyConn) { c.readMost = 1 }}
+	faults := map[string]func(*faultyConn){"single bytes": func(c *faultyConn) { c.maxRead = 1 }}
 	for seed := range uint64(5) {
-		faults[fmt.Sprintf("seed %d", seed)] = func(c *faultyConn) { c.chunks = newRand(seed) }
+		faults[fmt.Sprintf("seed %d", seed)] = func(c *faultyConn) { c.readSizes = newRand(seed) }
 	}
 	for _, errno := range transientErrnos {
 		for first := range 4 {
 			faults[fmt.Sprintf("%v from read %d", errno, first)] = func(c *faultyConn) {
-				c.readMost, c.reads = 16, &schedule{first: first, calls: 3, errno: errno}
+				c.maxRead, c.reads = 16, &faultSchedule{first: first, failures: 3, errno: errno}
 			}
 		}
 	}
@@ -63,7 +63,7 @@
 	for at := range len(resp.OK) {
 		for _, errno := range transientErrnos {
 			_, addr, said := serveFaulty(t, accept, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: at, writeErrno: errno, writeFails: 2}
+				return &faultyConn{TCPConn: c, failWriteAt: at, writeErrno: errno, writeFailures: 2}
 			})
 			cl := dialClient(t, addr)
 			if s := cl.put("m", fields("plain", 8000, 1), nil); s != "+OK" || !<-said {
@@ -75,7 +75,7 @@
 		}
 		for _, errno := range brokenErrnos {
 			c, addr, said := serveFaulty(t, accept, func(c *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: c, writeFail: at, writeErrno: errno, writeFails: 1 << 30}
+				return &faultyConn{TCPConn: c, failWriteAt: at, writeErrno: errno, writeFailures: 1 << 30}
 			})
 			cl := dialClient(t, addr)
 			io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
@@ -92,7 +92,7 @@
 	for _, errno := range brokenErrnos {
 		got := make(chan *request, 1)
 		_, addr, said := serveFaulty(t, func(q *request) { got <- q }, func(c *net.TCPConn) net.Conn {
-			return &faultyConn{TCPConn: c, reads: &schedule{first: 1, calls: 1 << 30, errno: errno}}
+			return &faultyConn{TCPConn: c, reads: &faultSchedule{first: 1, failures: 1 << 30, errno: errno}}
 		})
 		cl := dialClient(t, addr)
 		io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
--- a/internal/relay/faulty_dial_test.go
+++ b/internal/relay/faulty_dial_test.go
@@ -13,80 +13,80 @@
 	"troutusher/decide"
 )
 
-// counted is an endpoint that answers each whole call with 200 and counts them.
-func counted(t *testing.T) (addr string, calls *atomic.Int32) {
+// countingEndpoint is an endpoint that responds to each complete call with 200 and counts the calls.
+func countingEndpoint(t *testing.T) (addr string, calls *atomic.Int32) {
 	calls = &atomic.Int32{}
 	return rawEndpoint(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
 			calls.Add(1)
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}), calls
 }
 
-// A dial that fails on this machine for a moment costs the call a pause and the
-// endpoint nothing; one that fails at the endpoint counts against it at once.
+// Guards the classification of dial failures. A dial that fails temporarily because of this machine delays the call
+// and does not count against the endpoint; a failure at the endpoint counts against it at once.
 func TestDialFailures(t *testing.T) {
 	for _, errno := range localErrnos {
-		t.Run("for a moment, "+errno.Error(), func(t *testing.T) {
+		t.Run("temporary, "+errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			addr, calls := counted(t)
-			h := testPool(t).home(addr)
-			dials := &schedule{calls: 2, errno: errno}
+			addr, calls := countingEndpoint(t)
+			h := testPool(t).forHost(addr)
+			dials := &faultSchedule{failures: 2, errno: errno}
 			h.dial = failingDial(h.dial, dials)
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.Delivered {
-				t.Errorf("got %+v", o)
+			if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.Delivered {
+				t.Errorf("result: got %+v, want the outcome Delivered", o)
 			}
 			if dials.count() != 3 || calls.Load() != 1 {
-				t.Errorf("%d dials, %d calls, want 3 and 1", dials.count(), calls.Load())
+				t.Errorf("got %d dials and %d calls, want 3 and 1", dials.count(), calls.Load())
 			}
 		})
-		t.Run("for long, "+errno.Error(), func(t *testing.T) {
+		t.Run("permanent, "+errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			const limit = 600 * time.Millisecond
-			h := testPool(t).home("127.0.0.1:1")
-			dials := &schedule{calls: 1 << 30, errno: errno}
+			h := testPool(t).forHost("127.0.0.1:1")
+			dials := &faultSchedule{failures: 1 << 30, errno: errno}
 			h.dial = failingDial(h.dial, dials)
-			o := newTestCall().made(t, h, &record{ID: "m"}, limit)
-			if o.what != decide.NotSent || !o.what.NeverRan() {
-				t.Errorf("got %+v", o)
+			o := newTestCall().runForResult(t, h, &record{ID: "m"}, limit)
+			if o.outcome != decide.NotSent || !o.outcome.NeverRan() {
+				t.Errorf("result: got %+v, want the outcome NotSent", o)
 			}
-			if n := dials.count(); n < 2 || n > 12 { // pauses of 10 ms, doubling to 160 ms
-				t.Errorf("%d dials in %v", n, limit)
+			if n := dials.count(); n < 2 || n > 12 { // delays of 10 ms, doubling to 160 ms
+				t.Errorf("dials: got %d in %v, want 2 to 12", n, limit)
 			}
-			if (&endpoint{}).suspect(&o, policyEpoch) {
-				t.Error("the endpoint's idle connections are given up")
+			if (&endpoint{}).recordResult(&o, policyEpoch) {
+				t.Error("recordResult: got true, want the idle connections to stay open after a local failure")
 			}
 		})
-		t.Run("under a probe, "+errno.Error(), func(t *testing.T) {
+		t.Run("probe, "+errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			h := testPool(t).home("127.0.0.1:1")
-			h.dial = failingDial(h.dial, &schedule{calls: 1 << 30, errno: errno})
-			if o := probe(context.Background(), h); o.what != decide.NotSent {
-				t.Errorf("got %+v", o)
+			h := testPool(t).forHost("127.0.0.1:1")
+			h.dial = failingDial(h.dial, &faultSchedule{failures: 1 << 30, errno: errno})
+			if o := probe(context.Background(), h); o.outcome != decide.NotSent {
+				t.Errorf("probe: got %+v, want the outcome NotSent", o)
 			}
 		})
 	}
 	for _, errno := range remoteErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			h := testPool(t).home("127.0.0.1:1")
-			dials := &schedule{calls: 1 << 30, errno: errno}
+			h := testPool(t).forHost("127.0.0.1:1")
+			dials := &faultSchedule{failures: 1 << 30, errno: errno}
 			h.dial = failingDial(h.dial, dials)
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NoConnect || dials.count() != 1 {
-				t.Errorf("%d dials, got %+v", dials.count(), o)
+			if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect || dials.count() != 1 {
+				t.Errorf("got %d dials and result %+v, want 1 and the outcome NoConnect", dials.count(), o)
 			}
-			if o := probe(context.Background(), h); o.what != decide.NoConnect {
-				t.Errorf("a probe: %+v", o)
+			if o := probe(context.Background(), h); o.outcome != decide.NoConnect {
+				t.Errorf("probe: got %+v, want the outcome NoConnect", o)
 			}
 		})
 	}
 }
 
-// A call that waits out a failure of this machine is given up like any that waits
-// for a connection: it has never begun.
-func TestLocalFailureIsGivenUp(t *testing.T) {
-	h := testPool(t).home("127.0.0.1:1")
+// Guards the cancellation of a call that retries its dial because of a local failure: as with any call that waits for
+// a connection, it has not run.
+func TestCallWithLocalFailureIsCancelled(t *testing.T) {
+	h := testPool(t).forHost("127.0.0.1:1")
 	failed := make(chan struct{}, 1024)
 	h.dial = func(context.Context, string) (net.Conn, error) {
 		failed <- struct{}{}
@@ -95,34 +95,34 @@
 	c := newTestCall()
 	go func() {
 		<-failed
-		c.withhold(errDrained)
+		c.cancelUnsent(errDrained)
 	}()
-	if o := c.made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NotSent || o.took > (testLimit/2).Microseconds() {
-		t.Errorf("got %+v", o)
+	if o := c.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent || o.elapsed > (testLimit/2).Microseconds() {
+		t.Errorf("cancelled call: got %+v, want the outcome NotSent in less than half of its timeout", o)
 	}
 }
 
-// A call that finds the pool full waits a moment for a place, too: it would use up
-// its message's attempts at once otherwise.
-func TestFullPoolIsWaitedFor(t *testing.T) {
+// Guards a call that finds the pool full: it waits for a connection to be closed for a short time, since it would
+// otherwise use up its message's attempts at once.
+func TestCallWaitsForFullPool(t *testing.T) {
 	p := testPool(t)
-	p.most = 1
+	p.maxOpen = 1
 	held, entered := newTestCall(), make(chan struct{})
-	holder := p.home(rawEndpoint(t, func(c net.Conn) {
+	holder := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
 		close(entered)
 		in.ReadByte()
 	}))
-	over := make(chan outcome, 1)
-	go held.run(holder, testPart("held"), nil, func(_ *message, o outcome) { over <- o })
+	over := make(chan callResult, 1)
+	go held.run(holder, testItems("held"), nil, func(_ *message, o callResult) { over <- o })
 	<-entered
-	addr, calls := counted(t)
-	h := p.home(addr)
+	addr, calls := countingEndpoint(t)
+	h := p.forHost(addr)
 	waiting := newTestCall()
-	time.AfterFunc(dialPause, func() { held.stop(errCancelled) })
-	if o := waiting.made(t, h, &record{ID: "m"}, testLimit); o.what != decide.Delivered || calls.Load() != 1 {
-		t.Errorf("got %+v", o)
+	time.AfterFunc(minDialRetryDelay, func() { held.cancel(errCancelled) })
+	if o := waiting.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.Delivered || calls.Load() != 1 {
+		t.Errorf("call with a full pool: got %+v, want the outcome Delivered and one call", o)
 	}
 	<-over
 }
--- a/internal/relay/faulty_net_test.go
+++ b/internal/relay/faulty_net_test.go
@@ -12,58 +12,57 @@
 	"testing"
 )
 
-// Listener, dialer and connection that fail by a schedule. They stand where the
-// relay has the system's own: clients.serve takes a net.Listener, home.dial makes
-// a net.Conn.
+// This file has a listener, a dialer and a connection that fail according to a schedule. They replace those of the
+// system: clients.serve takes a net.Listener, and hostPool.dial returns a net.Conn.
 
-// acceptErrnos are what accept may fail with for a moment.
+// acceptErrnos are the temporary errors of accept.
 var acceptErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EAGAIN}
 
-// localErrnos are what socket, bind and connect fail with for a reason of this machine.
+// localErrnos are the errors of socket, bind and connect that this machine causes.
 var localErrnos = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EPROTO, syscall.EINTR, syscall.EAGAIN, syscall.EACCES, syscall.EPERM,
 	syscall.ENETDOWN, syscall.EADDRINUSE}
 
-// remoteErrnos are what connect fails with for a reason of its peer or the way there.
+// remoteErrnos are the errors of connect that the peer or the network causes.
 var remoteErrnos = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
 
-// brokenErrnos are what a broken connection may show as.
+// brokenErrnos are the errors of reads and writes on a broken connection.
 var brokenErrnos = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EPIPE, syscall.ECONNRESET}
 
-// transientErrnos are what a read or write may fail with on a sound connection.
+// transientErrnos are the errors of reads and writes on an intact connection.
 var transientErrnos = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 
-// opError is an errno as the net package reports it.
+// opError returns an errno as the net package reports it.
 func opError(operation, call string, errno syscall.Errno) error {
 	return &net.OpError{Op: operation, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// schedule says which calls fail: those numbered from first on, so many of them.
-type schedule struct {
-	first, calls int // the first call is number 0; none fail where calls is 0
-	errno        syscall.Errno
+// faultSchedule determines which system calls fail: a number of consecutive ones, from first on.
+type faultSchedule struct {
+	first, failures int // the first call is number 0; none fail where calls is 0
+	errno           syscall.Errno
 
-	mu   sync.Mutex
-	made int
+	mu    sync.Mutex
+	calls int
 }
 
-// next counts a call and reports whether it fails.
-func (s *schedule) next() bool {
+// next counts a system call and reports whether it fails.
+func (s *faultSchedule) next() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	number := s.made
-	s.made++
-	return number >= s.first && number < s.first+s.calls
+	number := s.calls
+	s.calls++
+	return number >= s.first && number < s.first+s.failures
 }
 
-func (s *schedule) count() int {
+func (s *faultSchedule) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.made
+	return s.calls
 }
 
-// faultyListener fails accept while failing is set, and before it waits.
+// faultyListener fails Accept at once while failing is set.
 type faultyListener struct {
 	net.Listener
 	mu      sync.Mutex
@@ -96,8 +95,8 @@
 	return l.failed
 }
 
-// failingDial wraps a dial so that it fails by a schedule.
-func failingDial(dial func(context.Context, string) (net.Conn, error), s *schedule) func(context.Context, string) (net.Conn, error) {
+// failingDial wraps a dial function so that it fails according to a schedule.
+func failingDial(dial func(context.Context, string) (net.Conn, error), s *faultSchedule) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if s.next() {
 			return nil, opError("dial", "connect", s.errno)
@@ -106,28 +105,28 @@
 	}
 }
 
-// faultyConn cuts reads and writes short and fails them by a schedule. What it
-// leaves alone goes to the connection below it.
+// faultyConn shortens reads and fails reads and writes according to a schedule. It passes everything else to the
+// connection that it embeds.
 type faultyConn struct {
 	*net.TCPConn
-	readMost    int       // bytes that one read brings at most; 0 for any number
-	reads       *schedule // of reads; nil for no fault
-	writeFail   int       // after so many bytes written a write fails with writeErrno
-	writeErrno  syscall.Errno
-	writeFails  int        // this often
-	chunks      *rand.Rand // sizes of reads, where that is set
-	mu          sync.Mutex
-	wrote       int
-	writeFailed int
+	maxRead       int            // limit of the bytes that one read returns; 0 for none
+	reads         *faultSchedule // failures of reads; nil for none
+	failWriteAt   int            // number of written bytes after which a write fails with writeErrno
+	writeErrno    syscall.Errno
+	writeFailures int        // number of writes that fail
+	readSizes     *rand.Rand // if set, the sizes of reads are random
+	mu            sync.Mutex
+	written       int
+	failedWrites  int
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
 	if c.reads != nil && c.reads.next() {
 		return 0, opError("read", "read", c.reads.errno)
 	}
-	most := c.readMost
-	if c.chunks != nil {
-		most = 1 + c.chunks.IntN(7)
+	most := c.maxRead
+	if c.readSizes != nil {
+		most = 1 + c.readSizes.IntN(7)
 	}
 	if most > 0 {
 		b = b[:min(len(b), most)]
@@ -138,27 +137,27 @@
 func (c *faultyConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writeErrno == 0 || c.writeFailed == c.writeFails || c.wrote+len(b) <= c.writeFail {
+	if c.writeErrno == 0 || c.failedWrites == c.writeFailures || c.written+len(b) <= c.failWriteAt {
 		n, err := c.TCPConn.Write(b)
-		c.wrote += n
+		c.written += n
 		return n, err
 	}
-	n, err := c.TCPConn.Write(b[:c.writeFail-c.wrote])
-	c.wrote += n
-	c.writeFailed++
+	n, err := c.TCPConn.Write(b[:c.failWriteAt-c.written])
+	c.written += n
+	c.failedWrites++
 	if err == nil {
 		err = opError("write", "write", c.writeErrno)
 	}
 	return n, err
 }
 
-// connListener gives each connection that it accepts to wrap.
-type connListener struct {
+// wrappingListener passes each connection that it accepts to wrap.
+type wrappingListener struct {
 	net.Listener
 	wrap func(*net.TCPConn) net.Conn
 }
 
-func (l *connListener) Accept() (net.Conn, error) {
+func (l *wrappingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -177,9 +176,9 @@
 	return ln
 }
 
-// The faults are those that the relay would meet: unwrapped to their errno, and
-// bytes that were taken before an error are counted.
-func TestFaultsAreLikeTheSystems(t *testing.T) {
+// Guards that the injected faults match those of the system: they unwrap to an errno, and bytes that were written
+// before an error are counted.
+func TestInjectedFaultsMatchSystemErrors(t *testing.T) {
 	ln := listenLocal(t)
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -191,13 +190,13 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	faulty := &faultyConn{TCPConn: conn.(*net.TCPConn), writeFail: 3, writeErrno: syscall.EPIPE, writeFails: 1}
+	faulty := &faultyConn{TCPConn: conn.(*net.TCPConn), failWriteAt: 3, writeErrno: syscall.EPIPE, writeFailures: 1}
 	if n, err := faulty.Write([]byte("abcde")); n != 3 || !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("wrote %d, %v", n, err)
+		t.Errorf("Write: got %d bytes, error %v, want 3 and EPIPE", n, err)
 	}
 	got := make([]byte, 3)
 	if _, err := io.ReadFull(other, got); err != nil || string(got) != "abc" {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("bytes that the peer received: got %q, error %v, want abc", got, err)
 	}
 }
 
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -200,7 +200,7 @@
 	control.heal()
 	c.kill()
 	startChild(t, env)
-	waitFor(t, "the end of the unsafe one", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "the end of the unsafe one", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
 	if n := unsafe.count("out"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
 	}
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -9,27 +9,29 @@
 	"troutusher/internal/membership"
 )
 
-// Watch keeps a watch on discovery's list as one of so many relays does, until ctx ends. known is the revision of the
-// list that this relay has already, or negative; grace is the time in which a watch that ended is opened anew at the
-// latest. begin begins a list, once the one before it is in force. It is what a running relay uses, by itself, for
-// fleets of relays without a data path.
+// Watch runs the discovery client of a relay by itself until ctx ends, for fleets of relays without a data path.
+// relays is the size of the fleet. known is the revision of the list that the relay already has, or negative; grace
+// is the time within which a watch that has ended is opened again. begin begins to receive a list, and returns once
+// the list before it is in force.
 func Watch(ctx context.Context, addr string, relays int, grace time.Duration, known int64, log *slog.Logger,
 	begin func(context.Context) (membership.Receiver, error)) {
 	d := newDiscovery(addr, relays, known, clock.System(), log, begin)
-	d.grace = grace
+	d.reopenGrace = grace
 	d.run(ctx)
 }
 
-// Follow is a Watch that hands on each list whole, in order. known is the list that this relay has already, or nil.
-func Follow(ctx context.Context, addr string, relays int, grace time.Duration, known *List, log *slog.Logger, news func(*List)) {
-	rev := int64(-1)
+// Follow is like Watch, but passes each list to deliver once it is complete, in order. known is the list that the
+// relay already has, or nil.
+func Follow(ctx context.Context, addr string, relays int, grace time.Duration, known *List, log *slog.Logger,
+	deliver func(*List)) {
+	revision := int64(-1)
 	if known != nil && len(known.Members) > 0 {
-		rev = known.Revision
+		revision = known.Revision
 	}
-	Watch(ctx, addr, relays, grace, rev, log, collect(news))
+	Watch(ctx, addr, relays, grace, revision, log, collectLists(deliver))
 }
 
-// collect begins lists that are handed on whole.
-func collect(news func(*List)) beginList {
-	return func(context.Context) (membership.Receiver, error) { return &membership.Collector{News: news}, nil }
+// collectLists returns a beginList that collects each list and passes it to deliver once it is complete.
+func collectLists(deliver func(*List)) beginList {
+	return func(context.Context) (membership.Receiver, error) { return &membership.Collector{News: deliver}, nil }
 }
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -31,10 +31,10 @@
 			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
 			c := r.forming[0]
 			r.gathered()
-			r.returned(c, nil, &outcome{what: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
+			r.returned(c, nil, &callResult{outcome: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
 		}
 		n := newNotices("127.0.0.1:1", clock.System(), r.log, func(string) {})
-		n.settle(&owedNotice{notice: notice{Message: "bad", Outcome: endGivenUp}}, nil, 0)
+		n.confirm(&pendingNotice{notice: notice{Message: "bad", Outcome: noticeGivenUp}}, nil, 0)
 		return out.String()
 	}
 	all, few := lines(slog.LevelDebug), lines(slog.LevelInfo)
