--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -19,11 +19,11 @@
 	"troutusher/decide"
 )
 
-// scriptedConn is a connection that brings an answer in pieces, and then ends.
+// scriptedConn is a connection that returns a response in pieces and then fails with end.
 type scriptedConn struct {
-	net.Conn // nil: a call of anything but what is defined here fails the test
+	net.Conn // nil: the test panics if a method is called that is not defined here
 	rest     []byte
-	piece    int // bytes that one Read brings
+	piece    int // bytes that one Read returns
 	end      error
 }
 
@@ -38,58 +38,58 @@
 
 func (c *scriptedConn) SetReadDeadline(time.Time) error { return nil }
 
-// answerEnds are the ways in which a connection ends behind what it brought: closed,
-// reset, and silent until the wait for it was over.
-var answerEnds = []error{io.EOF, syscall.ECONNRESET, os.ErrDeadlineExceeded}
+// responseEnds are the errors with which a connection ends after its data: closed, reset, and silent until the
+// timeout.
+var responseEnds = []error{io.EOF, syscall.ECONNRESET, os.ErrDeadlineExceeded}
 
-// answerRead is what readAnswer made of an answer.
-type answerRead struct {
-	outcome outcome
-	keep    bool
-	read    int // bytes that the answer took
+// readResult is the result of readResponse.
+type readResult struct {
+	result   callResult
+	reusable bool
+	read     int // bytes of the response
 }
 
-// readScripted has readAnswer read an answer to a call with these messages.
-func readScripted(t *testing.T, answer []byte, piece int, end error, parts []part) answerRead {
+// readScripted calls readResponse with a scripted response to a call with these messages.
+func readScripted(t *testing.T, response []byte, piece int, end error, items []callItem) readResult {
 	t.Helper()
-	req, err := newCallRequest("127.0.0.1:1", parts, time.Second)
+	req, err := newCallRequest("127.0.0.1:1", items, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	script := &scriptedConn{rest: answer, piece: piece, end: end}
-	conn := &poolConn{Conn: script, left: answerMost}
-	conn.in = bufio.NewReader(conn)
-	var told []outcome
-	keep := readAnswer(conn, req, parts, []string{"x0", "x1"}, func(o outcome) { told = append(told, o) })
-	if len(told) != 1 {
-		t.Fatalf("told %d outcomes, want 1: %+v", len(told), told)
+	script := &scriptedConn{rest: response, piece: piece, end: end}
+	conn := &poolConn{Conn: script, readBudget: maxResponseBytes}
+	conn.reader = bufio.NewReader(conn)
+	var results []callResult
+	reusable := readResponse(conn, req, items, []string{"x0", "x1"}, func(o callResult) { results = append(results, o) })
+	if len(results) != 1 {
+		t.Fatalf("reported results: got %d, want 1: %+v", len(results), results)
 	}
-	return answerRead{told[0], keep, len(answer) - len(script.rest) - conn.in.Buffered()}
+	return readResult{results[0], reusable, len(response) - len(script.rest) - conn.reader.Buffered()}
 }
 
-// lastAnswer is the answer behind whole heads of 1xx answers, which are read past and
-// may hold anything. status is that of its first line; 0 where that is not whole.
-func lastAnswer(text []byte) (answer []byte, status int) {
+// finalResponse returns the response after all complete headers of 1xx responses, which may hold anything. status is
+// that of its status line, or 0 if that line is incomplete or invalid.
+func finalResponse(text []byte) (response []byte, status int) {
 	for {
 		line, rest, whole := bytes.Cut(text, []byte("\n"))
 		if !whole {
 			return text, 0
 		}
-		status, err := statusOf(string(line))
+		status, err := parseStatus(string(line))
 		if err != nil {
 			return text, 0
 		}
 		if status >= 200 {
 			return text, status
 		}
-		if text, whole = behindHead(rest); !whole {
+		if text, whole = afterHeader(rest); !whole {
 			return nil, 0
 		}
 	}
 }
 
-// behindHead is what follows the empty line that ends a head.
-func behindHead(text []byte) (rest []byte, whole bool) {
+// afterHeader returns what follows the empty line that ends a header.
+func afterHeader(text []byte) (rest []byte, whole bool) {
 	for {
 		var line []byte
 		if line, text, whole = bytes.Cut(text, []byte("\n")); !whole {
@@ -101,10 +101,10 @@
 	}
 }
 
-// wholeAnswer reports whether net/http, too, reads the last answer to its end.
-func wholeAnswer(text []byte) bool {
-	answer, _ := lastAnswer(text)
-	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(answer)), &http.Request{Method: http.MethodPost})
+// isCompleteResponse reports whether net/http reads the final response to its end without an error.
+func isCompleteResponse(text []byte) bool {
+	response, _ := finalResponse(text)
+	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(response)), &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return false
 	}
@@ -112,68 +112,68 @@
 	return err == nil
 }
 
-// checkOutcome: the outcome of a call is one that its answer can have.
-func checkOutcome(t *testing.T, o *outcome, answer []byte, several bool) {
+// checkResult checks that the result of a call is possible for its response.
+func checkResult(t *testing.T, o *callResult, response []byte, several bool) {
 	t.Helper()
-	_, status := lastAnswer(answer)
-	if o.wait < 0 || o.wait > longestWait.Microseconds() {
-		t.Errorf("told to wait %d us", o.wait)
+	_, status := finalResponse(response)
+	if o.retryAfter < 0 || o.retryAfter > maxRetryAfter.Microseconds() {
+		t.Errorf("Retry-After: got %d us, want 0 to maxRetryAfter", o.retryAfter)
 	}
-	if o.load.Left < 0 || o.load.Left > loadMost || o.load.Limit < 0 || o.load.Limit > loadMost {
-		t.Errorf("load %+v", o.load)
+	if o.load.Left < 0 || o.load.Left > maxLoadValue || o.load.Limit < 0 || o.load.Limit > maxLoadValue {
+		t.Errorf("load: got %+v, want values from 0 to maxLoadValue", o.load)
 	}
 	if o.status != 0 && o.status != status {
-		t.Errorf("status %d, the first line of the answer says %d", o.status, status)
+		t.Errorf("status: got %d, want %d as in the status line", o.status, status)
 	}
-	if delivered := status == http.StatusOK && !several; (o.what == decide.Delivered) != delivered {
-		t.Errorf("outcome %d, status %d", o.what, status)
+	if delivered := status == http.StatusOK && !several; (o.outcome == decide.Delivered) != delivered {
+		t.Errorf("outcome: got %d with status %d, want Delivered for a 200 to a single message only", o.outcome, status)
 	}
-	if o.what != decide.Delivered && o.settled && (several || status != http.StatusGone) {
-		t.Errorf("settled by status %d", status)
+	if o.outcome != decide.Delivered && o.settled && (several || status != http.StatusGone) {
+		t.Errorf("settled: got true with status %d, want false", status)
 	}
-	if o.slots && (o.what != decide.NotSent || status != http.StatusServiceUnavailable) {
-		t.Errorf("slots are taken, outcome %d, status %d", o.what, status)
+	if o.slotsTaken && (o.outcome != decide.NotSent || status != http.StatusServiceUnavailable) {
+		t.Errorf("slots taken: got outcome %d with status %d, want NotSent with 503", o.outcome, status)
 	}
-	if o.crowded && (o.what != decide.Full || o.wait != 0) {
-		t.Errorf("crowded, outcome %d, wait %d", o.what, o.wait)
+	if o.tooManyConns && (o.outcome != decide.Full || o.retryAfter != 0) {
+		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Full and 0", o.outcome, o.retryAfter)
 	}
-	if (o.spoilt || o.err != nil) && o.what.NeverRan() {
-		t.Errorf("a spoilt answer (%v) proves that the call has not run", o.err)
+	if (o.malformed || o.err != nil) && o.outcome.NeverRan() {
+		t.Errorf("malformed response (%v): got an outcome of a call that has not run", o.err)
 	}
-	if o.what.NeverRan() && !wholeAnswer(answer) {
-		t.Errorf("outcome %d of an answer that is not whole", o.what)
+	if o.outcome.NeverRan() && !isCompleteResponse(response) {
+		t.Errorf("incomplete response: got outcome %d, want one of a call that may have run", o.outcome)
 	}
-	switch o.what {
+	switch o.outcome {
 	case decide.Delivered, decide.Errored, decide.Full, decide.NotSent, decide.Reset:
 	default:
-		t.Errorf("outcome %d", o.what)
+		t.Errorf("outcome: got %d, want one that a response can have", o.outcome)
 	}
 }
 
-// checkKept: where a connection carries another call, the answer was read whole and
-// nothing of it is left. One byte less of it is no whole answer.
-func checkKept(t *testing.T, answer []byte, piece int, parts []part, got answerRead) {
+// checkReuse checks that if a connection can carry another call, the response was complete and was read to its end.
+// Without its last byte the response must not be accepted as complete.
+func checkReuse(t *testing.T, response []byte, piece int, items []callItem, got readResult) {
 	t.Helper()
-	if !got.keep {
+	if !got.reusable {
 		return
 	}
-	own := answer[:got.read]
-	if !wholeAnswer(own) {
-		t.Errorf("kept behind an answer that is not whole: %.200q", own)
+	own := response[:got.read]
+	if !isCompleteResponse(own) {
+		t.Errorf("connection reusable after an incomplete response: %.200q", own)
 	}
-	if alone := readScripted(t, own, piece, io.EOF, parts); !alone.keep || alone.outcome.what != got.outcome.what {
-		t.Errorf("alone: %+v, with what comes behind: %+v", alone, got)
+	if alone := readScripted(t, own, piece, io.EOF, items); !alone.reusable || alone.result.outcome != got.result.outcome {
+		t.Errorf("result differs with surplus bytes: got %+v without and %+v with them", alone, got)
 	}
-	for _, end := range answerEnds {
-		if cut := readScripted(t, own[:len(own)-1], piece, end, parts); cut.keep {
-			t.Errorf("kept though the last byte of %.200q is missing", own)
+	for _, end := range responseEnds {
+		if cut := readScripted(t, own[:len(own)-1], piece, end, items); cut.reusable {
+			t.Errorf("connection reusable though the last byte of the response %.200q is missing", own)
 		}
 	}
 }
 
-// FuzzReadAnswer: any bytes of an endpoint give exactly one outcome, which they can
-// have, and a connection is kept only behind a whole answer.
-func FuzzReadAnswer(f *testing.F) {
+// FuzzReadResponse checks that any bytes from an endpoint give exactly one result, which is possible for them, and
+// that a connection is reusable only after a complete response.
+func FuzzReadResponse(f *testing.F) {
 	const whole = "HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.5,x1=20\r\nContent-Length: 2\r\n\r\nok"
 	f.Add([]byte(whole+whole), uint8(255), uint8(0), false)
 	f.Add([]byte("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+whole), uint8(7), uint8(0), false)
@@ -189,20 +189,20 @@
 		`[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`+"\r\n"), uint8(40), uint8(0), true)
 	f.Add([]byte("HTTP/1.1 413 M\r\nContent-Length: 0\r\n\r\n"), uint8(40), uint8(0), true)
 	f.Add([]byte{}, uint8(0), uint8(0), true)
-	f.Fuzz(func(t *testing.T, answer []byte, piece, end uint8, several bool) {
-		parts := testPart("a")
+	f.Fuzz(func(t *testing.T, response []byte, piece, end uint8, several bool) {
+		items := testItems("a")
 		if several {
-			parts = append(parts, testPart("b")...)
+			items = append(items, testItems("b")...)
 		}
 		size := int(piece) + 1
-		got := readScripted(t, answer, size, answerEnds[int(end)%len(answerEnds)], parts)
-		checkOutcome(t, &got.outcome, answer, several)
-		checkKept(t, answer, size, parts, got)
+		got := readScripted(t, response, size, responseEnds[int(end)%len(responseEnds)], items)
+		checkResult(t, &got.result, response, several)
+		checkReuse(t, response, size, items, got)
 	})
 }
 
-// acceptedBy reports whether the answer to a call with several messages says of one
-// that it was accepted, by a reading of its own.
+// acceptedBy reports whether the response to a batch says that a message was accepted. It parses the response
+// independently of the code under test.
 func acceptedBy(body []byte, id string) bool {
 	var said []map[string]any
 	if json.Unmarshal(body, &said) != nil {
@@ -218,10 +218,9 @@
 	})
 }
 
-// FuzzBatchAnswer: each message of a call has an outcome that its answer can give it.
-// None is delivered that the answer does not call accepted, and where the answer
-// cannot be read all of them may have run.
-func FuzzBatchAnswer(f *testing.F) {
+// FuzzBatchResponse checks that each message of a batch has a result that is possible for the response: a message is
+// delivered only if the response says accepted, and after an invalid response all messages may have run.
+func FuzzBatchResponse(f *testing.F) {
 	f.Add(uint16(200), "", []byte(`[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`))
 	f.Add(uint16(200), "0.5", []byte(`[{"id":"b","state":"expired"},{"id":"a","state":"no_more"}]`))
 	f.Add(uint16(200), "", []byte(`[{"id":"a","state":"fault"}]`))
@@ -237,34 +236,34 @@
 	f.Add(uint16(410), "", []byte{})
 	f.Fuzz(func(t *testing.T, status uint16, retryAfter string, body []byte) {
 		if status < 200 || status > 999 || strings.ContainsAny(retryAfter, "\r\n") {
-			return // more than one answer, or no head
+			return // would be an interim response or an invalid header
 		}
 		head := fmt.Sprintf("HTTP/1.1 %03d X\r\nContent-Length: %d\r\n", status, len(body))
 		if retryAfter != "" {
 			head += "Retry-After: " + retryAfter + "\r\n"
 		}
-		answer := append([]byte(head+"\r\n"), body...)
-		parts := append(testPart("a"), testPart("b")...)
-		got := readScripted(t, answer, len(answer), io.EOF, parts)
-		o := &got.outcome
-		checkOutcome(t, o, answer, true)
-		if (o.err != nil) != o.spoilt || o.spoilt && (o.what != decide.Errored || o.ends != nil || o.settled) {
-			t.Errorf("an answer that cannot be read: %+v", o)
+		response := append([]byte(head+"\r\n"), body...)
+		items := append(testItems("a"), testItems("b")...)
+		got := readScripted(t, response, len(response), io.EOF, items)
+		o := &got.result
+		checkResult(t, o, response, true)
+		if (o.err != nil) != o.malformed || o.malformed && (o.outcome != decide.Errored || o.itemResults != nil || o.settled) {
+			t.Errorf("invalid response: got %+v, want the outcome Errored and no results of messages", o)
 		}
-		for id, end := range o.ends {
+		for id, end := range o.itemResults {
 			if id != "a" && id != "b" {
-				t.Errorf("an end of message %q", id)
+				t.Errorf("result of message %q, which is not in the call", id)
 			}
-			if !slices.ContainsFunc([]ending{{decide.Delivered, true}, {decide.Errored, false}, {decide.Full, false},
-				{decide.NotSent, true}, {decide.NotSent, false}}, func(legal ending) bool { return legal == end }) {
-				t.Errorf("message %s ends as %+v", id, end)
+			if !slices.ContainsFunc([]itemResult{{decide.Delivered, true}, {decide.Errored, false}, {decide.Full, false},
+				{decide.NotSent, true}, {decide.NotSent, false}}, func(legal itemResult) bool { return legal == end }) {
+				t.Errorf("result of message %s: got %+v, want one that a state maps to", id, end)
 			}
-			if end.what == decide.Delivered && (status != http.StatusOK || !acceptedBy(body, id)) {
-				t.Errorf("message %s is delivered by status %d and %.200q", id, status, body)
+			if end.outcome == decide.Delivered && (status != http.StatusOK || !acceptedBy(body, id)) {
+				t.Errorf("message %s: got the outcome Delivered for status %d and body %.200q", id, status, body)
 			}
 		}
-		if errors.Is(o.err, errTooBig) && len(answer) < bodyMost {
-			t.Errorf("%d bytes are too many", len(answer))
+		if errors.Is(o.err, errResponseTooLarge) && len(response) < bodyMost {
+			t.Errorf("response of %d bytes: got errResponseTooLarge, want it to be read", len(response))
 		}
 	})
 }
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -30,7 +30,7 @@
 	cancel()
 	r.ctx = ended
 	r.wal = &wal{in: newMailbox[walOp]()}
-	r.notices = &notices{in: newMailbox[notice]()}
+	r.notices = &notices{incoming: newMailbox[notice]()}
 	r.reload = Reload{Read: func() (*Config, error) { return nil, errors.New("no file") }}
 	r.predecessor = fuzzPeer()
 	takeList(t, r, membership.List{Revision: 1, Complete: true, Members: []Member{
@@ -52,8 +52,8 @@
 			t.Fatal(err)
 		}
 	}
-	r.update(stage.Commit(list.Revision, list.Complete))
-	r.applyAll()
+	r.startListUpdate(stage.Commit(list.Revision, list.Complete))
+	r.applyAllChanges()
 }
 
 // decodeLines reads what another process wrote, by way of newPeer.
@@ -186,8 +186,8 @@
 		t.Errorf("%d calls are out, %d are counted", len(calls), r.calls)
 	}
 	for c, messages := range calls {
-		if c.out != messages || !c.ep.calls[c] {
-			t.Errorf("a call of %d messages is out with %d", messages, c.out)
+		if c.unfinished != messages || !c.ep.calls[c] {
+			t.Errorf("a call of %d messages is out with %d", messages, c.unfinished)
 		}
 	}
 }
--- a/internal/relay/fuzz_log_test.go
+++ b/internal/relay/fuzz_log_test.go
@@ -37,7 +37,7 @@
 		return text
 	}
 	sound := encoded(taken("seed-1", "body\n"), &record{Kind: recAttempt, ID: "seed-1", ZoneName: "a"},
-		&record{Kind: recOutcome, ID: "seed-1", Ran: true}, &record{Kind: recEnding, ID: "seed-1", Notice: endHandedBack, RetryMS: 20})
+		&record{Kind: recOutcome, ID: "seed-1", Ran: true}, &record{Kind: recEnding, ID: "seed-1", Notice: noticeHandedBack, RetryMS: 20})
 	damaged := bytes.Clone(sound)
 	damaged[walHead+3] ^= 1
 	return [][]byte{
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -15,7 +15,7 @@
 // configuration, has a time within its class's and texts that can stand in a header,
 // and comes back from the log as it was.
 func FuzzParsePut(f *testing.F) {
-	cfg := testSet(f)
+	cfg := parseTestConfig(f)
 	f.Add("message-1", fields("keyed", 20000, 7), []byte("body\n\x00"))
 	f.Add("message-1", "c=plain,t=acme,d=1500.25,dest=4294967295,new=field", []byte{})
 	f.Add("message-1", "c=once,t=acme,d=40000,dest=0,k=", []byte("b"))
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -14,7 +14,7 @@
 // testRelay is a loop without its sockets; its clock is moved by hand.
 func testRelay(t testing.TB) *Relay {
 	t.Helper()
-	cfg := testSet(t)
+	cfg := parseTestConfig(t)
 	policy, err := decide.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 // told has the relay take a list that discovery has read.
 func (r *Relay) told(t *testing.T, l *List) {
 	t.Helper()
-	to, err := r.begin(t.Context())
+	to, err := r.beginList(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	for _, h := range r.in.takeAll(nil) {
 		r.take(h)
 	}
-	r.applyAll()
+	r.applyAllChanges()
 }
 
 // named gives the loop's endpoint under an id; nil where no list has it.
@@ -73,7 +73,7 @@
 		r.told(t, &List{Members: []Member{leaves, up(i)}})
 		r.step()
 		fresh := r.named(up(i).ID)
-		if fresh.home == old.home || fresh.num == old.num || !old.home.closed {
+		if fresh.conns == old.conns || fresh.num == old.num || !old.conns.closed {
 			t.Fatalf("%s inherits from %s", fresh.id, old.id)
 		}
 		r.clock.(*clock.Manual).Advance(time.Second)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -303,7 +303,7 @@
 		if x, ok := r.directory.Find(id); ok {
 			ep := r.endpoint(decide.Endpoint(x.Number))
 			ep.waitUntil, ep.released = max(ep.waitUntil, until), true
-			r.toForget(ep)
+			r.queueForget(ep)
 		}
 	}
 	calls, byID := map[uint64]*call{}, map[string]*call{}
@@ -313,9 +313,9 @@
 			ep := r.endpoint(num(x.Endpoint))
 			if ep == nil { // off the list by now
 				r.madeUp++
-				ep = &endpoint{num: madeUp | r.madeUp, gone: true, calls: map[*call]bool{}}
+				ep = &endpoint{num: unlistedEndpointBit | r.madeUp, withdrawn: true, calls: map[*call]bool{}}
 			}
-			c = &call{ep: ep, written: true, stop: func(error) { p.send(handoverMessage{Cancel: x.ID}) }}
+			c = &call{ep: ep, committed: true, cancel: func(error) { p.send(handoverMessage{Cancel: x.ID}) }}
 			c.stage.Store(callSending)
 			calls[x.Call] = c
 		}
@@ -386,8 +386,8 @@
 	case h.Outcome != nil:
 		x := h.Outcome
 		if m := r.ids[x.ID]; m != nil && m.call != nil && m.call.ctx == nil {
-			o := &outcome{what: x.What, wait: x.Wait, slots: x.Slots, crowded: x.Crowded, settled: x.Settled, took: x.Took, load: x.Load,
-				status: x.Status, spoilt: x.Spoilt}
+			o := &callResult{outcome: x.What, retryAfter: x.Wait, slotsTaken: x.Slots, tooManyConns: x.Crowded, settled: x.Settled, elapsed: x.Took, load: x.Load,
+				status: x.Status, malformed: x.Spoilt}
 			if x.Err != "" {
 				o.err = errors.New(x.Err)
 			}
@@ -426,7 +426,7 @@
 	for _, m := range r.msgs {
 		if m.call != nil && m.call.ctx == nil {
 			left++
-			r.returned(m.call, m, &outcome{what: decide.Cancelled, err: errPredecessorGone})
+			r.returned(m.call, m, &callResult{outcome: decide.Cancelled, err: errPredecessorGone})
 		}
 	}
 	for _, q := range p.puts {
@@ -444,7 +444,7 @@
 	r.sharing = on
 	clients, endpoints := r.budget()
 	r.clients.retune(r.cfg, clients)
-	r.pool.tune(&r.cfg.Policy, endpoints)
+	r.pool.configure(&r.cfg.Policy, endpoints)
 	limit := memoryLimit(r.cfg)
 	if on {
 		limit /= 2
@@ -574,7 +574,7 @@
 // neither is left.
 func (r *Relay) finishAfterHandover() {
 	r.clients.handOver()
-	r.pool.tune(&r.cfg.Policy, r.calls+1)
+	r.pool.configure(&r.cfg.Policy, r.calls+1)
 	r.pool.sweep(func(*poolConn) bool { return true })
 	debug.FreeOSMemory()
 	byID := map[string]*message{}
@@ -617,7 +617,7 @@
 				}
 			case h.peer == r.successor && h.line.Cancel != "":
 				if m := byID[h.line.Cancel]; m != nil && m.call != nil {
-					m.call.stop(errCancelled)
+					m.call.cancel(errCancelled)
 				}
 			case h.peer != nil:
 				h.peer.conn.Close()
@@ -627,7 +627,7 @@
 				r.stopAt = r.clock.Now()
 			case h.update != nil || h.drains: // a call that waits for a connection must not begin on a drained endpoint
 				r.take(h)
-				r.applyAll()
+				r.applyAllChanges()
 				r.events = nil
 			case h.unsent != nil || h.call != nil:
 				r.take(h)
@@ -657,9 +657,9 @@
 }
 
 // forwardOutcome reports the end of an attempt to the process that has the message now.
-func (r *Relay) forwardOutcome(m *message, o *outcome) {
-	x := &handOutcome{ID: m.rec.ID, What: o.what, Wait: o.wait, Slots: o.slots, Crowded: o.crowded, Settled: o.settled, Took: o.took,
-		Load: o.load, Status: o.status, Spoilt: o.spoilt}
+func (r *Relay) forwardOutcome(m *message, o *callResult) {
+	x := &handOutcome{ID: m.rec.ID, What: o.outcome, Wait: o.retryAfter, Slots: o.slotsTaken, Crowded: o.tooManyConns, Settled: o.settled, Took: o.elapsed,
+		Load: o.load, Status: o.status, Spoilt: o.malformed}
 	if o.err != nil {
 		x.Err = o.err.Error()
 	}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -161,7 +161,7 @@
 		waitFor(t, "what came in meanwhile", func() bool { return plain.count(id("fresh")) == 1 && plain.count(id("half")) == 1 })
 		close(x.gate.open)
 		old.ended(t)
-		waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice(id("bad")); return ok && n.Outcome == endGivenUp })
+		waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice(id("bad")); return ok && n.Outcome == noticeGivenUp })
 		x.told.then(nil)
 		waitFor(t, "what was told to wait", func() bool { return x.told.count(id("told"))+x.told.count(id("nowhere")) >= 3 })
 		if waited := time.Since(*x.toldAt.Load()); waited < 2500*time.Millisecond {
@@ -244,7 +244,7 @@
 		var n notice
 		ended := false
 		waitFor(t, "the end of "+id, func() bool { n, ended = disc.notice(id); return ended || ep.count(id) > 0 })
-		if c := ep.count(id); ended && (c != 0 || n.Outcome != endHandedBack) || !ended && c != 1 {
+		if c := ep.count(id); ended && (c != 0 || n.Outcome != noticeHandedBack) || !ended && c != 1 {
 			t.Errorf("%s went out %d times and was ended by %+v", id, c, n)
 		}
 		if ended {
@@ -291,7 +291,7 @@
 	shut.then(nil)
 	old.kill()
 	waitFor(t, "what the old one held", func() bool { return shut.count("held") == 2 })
-	waitFor(t, "the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
 	if n := stuck.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
@@ -370,7 +370,7 @@
 	stuck.then(nil)
 	old.kill()
 	if first == "once" {
-		waitFor(t, "notice", func() bool { n, ok := disc.notice("once"); return ok && n.Outcome == endGivenUp })
+		waitFor(t, "notice", func() bool { n, ok := disc.notice("once"); return ok && n.Outcome == noticeGivenUp })
 	}
 	waitFor(t, "the other", func() bool { return stuck.count("twice") >= 1 })
 	if n := stuck.count("once"); n != 1 && first == "once" {
--- a/internal/relay/hangup_test.go
+++ b/internal/relay/hangup_test.go
@@ -71,7 +71,7 @@
 	c.once.Do(func() {
 		c.cross()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if n, err := unread(c.TCPConn); n != -1 || err != nil {
+			if n, err := peekSocket(c.TCPConn); n != -1 || err != nil {
 				return
 			}
 		}
@@ -106,7 +106,7 @@
 			var cl *testClient
 			dialled, missed := make(chan struct{}), make(chan struct{})
 			said := make(chan bool, 4)
-			c := newClients(testSet(t), clock.System(), quietLog(), func(q *request) {
+			c := newClients(parseTestConfig(t), clock.System(), quietLog(), func(q *request) {
 				if q.rec.ID == "crossed" {
 					t.Error("taken on after the shutdown")
 				}
@@ -115,7 +115,7 @@
 			if name == "idle for too long" {
 				c.quiet = 50 * time.Millisecond
 			}
-			ln := &connListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
+			ln := &wrappingListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
 				return &crossedConn{TCPConn: tcp, missed: missed, cross: func() {
 					<-dialled
 					io.WriteString(cl, putText("crossed", fields("plain", 8000, 1), nil))
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -95,7 +95,7 @@
 	reply       string
 	unsent      *message // its attempt did not leave; with call and result
 	probed      decide.Endpoint
-	result      *outcome
+	result      *callResult
 	ok          bool
 	stop        bool
 	log         logState // it has changed
@@ -122,7 +122,7 @@
 	waiting        map[*request]*message // whose clients have no answer yet
 	directory      *membership.Directory
 	applying       *membership.Update // a list that is being put in force
-	turn           turn
+	turn           timeSlice
 	changes        []membership.Change
 	view           []membership.Endpoint
 	drains         atomic.Bool
@@ -223,8 +223,8 @@
 	if n, _ := r.directory.Len(); n > 0 {
 		known = r.directory.Revision()
 	}
-	r.discovery = newDiscovery(cfg.Discovery, cfg.Policy.Relays, known, clk, log, r.begin)
-	r.discovery.grace = time.Duration(cfg.Policy.DrainGrace) * time.Microsecond / 2
+	r.discovery = newDiscovery(cfg.Discovery, cfg.Policy.Relays, known, clk, log, r.beginList)
+	r.discovery.reopenGrace = time.Duration(cfg.Policy.DrainGrace) * time.Microsecond / 2
 	r.notices = newNotices(cfg.Discovery, clk, log, func(id string) { r.wal.submit(&record{Kind: recEnd, ID: id}, nil) })
 	r.agent, r.reload = cfg.Discovery, re
 	go r.discovery.run(ctx)
@@ -297,7 +297,7 @@
 				r.take(h)
 				heard = heard || h.update != nil
 			}
-			r.applyAll()
+			r.applyAllChanges()
 			if heard {
 				return
 			}
@@ -321,8 +321,8 @@
 		if rec.Notice != "" {
 			m.over = true
 			r.drop(m)
-			r.notices.owed.Add(1)
-			r.notices.in.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
+			r.notices.unconfirmed.Add(1)
+			r.notices.incoming.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
 			continue
 		}
 		if rec.Rules == nil { // written before logs kept them
@@ -331,14 +331,14 @@
 			} else { // nothing is known of its effect
 				m.over = true
 				r.drop(m)
-				r.end(m, endGivenUp, 0)
+				r.end(m, noticeGivenUp, 0)
 				continue
 			}
 		}
 		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1, Rules: rec.Rules, Most: rec.Most,
 			Left: r.policyTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
 		if rec.DoubtZone != "" {
-			if e.DoubtIn = place(r.cfg.zones, rec.DoubtZone); e.DoubtIn < 0 {
+			if e.DoubtIn = indexOf(r.cfg.zones, rec.DoubtZone); e.DoubtIn < 0 {
 				e.DoubtIn-- // a zone that is no more, and that of no endpoint
 			}
 		}
@@ -355,13 +355,13 @@
 		if c := out[rec.ID]; c != nil {
 			m.call = c
 			c.msgs = append(c.msgs, m)
-			if c.out++; c.out == 1 {
+			if c.unfinished++; c.unfinished == 1 {
 				c.ep.calls[c] = true
 				r.calls++
 				r.lastCall++
-				c.num = r.lastCall
+				c.restoredNum = r.lastCall
 			}
-			e.OutOn, e.OutAt, e.Call = c.ep.num, r.policyTime(rec.Out), c.num
+			e.OutOn, e.OutAt, e.Call = c.ep.num, r.policyTime(rec.Out), c.restoredNum
 		} else if m.recoveredUntried = rec.Tries == 0; m.recoveredUntried {
 			r.untried.found++
 		}
@@ -395,8 +395,8 @@
 			wait = min(wait, 20*time.Millisecond)
 		}
 		if r.applying != nil {
-			if wait = 0; r.turn.over(r.clock.Now()) {
-				wait = listRest
+			if wait = 0; r.turn.expired(r.clock.Now()) {
+				wait = listPause
 			}
 		}
 		timer.Reset(max(wait, 0))
@@ -409,7 +409,7 @@
 			r.take(got[i])
 		}
 		if r.applying != nil {
-			r.apply()
+			r.applyNextChanges()
 		}
 		if r.timers.due(r.now()) {
 			r.events = append(r.events, decide.Event{Kind: decide.EvTimer})
@@ -437,7 +437,7 @@
 		// A client may have written its request, or half of it, as its connection was to
 		// go, and an answer may be given but not written; a notice may not have arrived.
 		idle := len(r.waiting) == 0 && r.calls == 0 && (r.held == 0 || gone >= stopSends) &&
-			r.clients.count() == 0 && r.notices.owed.Load() == 0
+			r.clients.count() == 0 && r.notices.unconfirmed.Load() == 0
 		if !listening && idle || gone >= stopCalls {
 			r.logUntried(true)
 			r.log.Info("stopped", "held", r.held, "calls", r.calls)
@@ -470,9 +470,9 @@
 	case h.unlogged != nil:
 		r.notLogged(h.unlogged)
 	case h.update != nil:
-		r.update(h.update)
+		r.startListUpdate(h.update)
 	case h.drains:
-		r.drained()
+		r.applyDrains()
 	case h.config != nil:
 		r.reconfigure(h.config)
 	case h.peer != nil:
@@ -498,7 +498,7 @@
 		r.returned(h.call, h.msg, h.result)
 	case h.probed != 0:
 		r.events = append(r.events, decide.Event{Kind: decide.EvProbed, Endpoint: h.probed,
-			Outcome: h.result.what, Took: h.result.took, Load: h.result.load})
+			Outcome: h.result.outcome, Took: h.result.elapsed, Load: h.result.load})
 	}
 }
 
@@ -640,9 +640,9 @@
 	for _, rec := range ended {
 		reply := resp.OK
 		switch rec.Notice {
-		case endHandedBack:
+		case noticeHandedBack:
 			reply = resp.Busy(rec.RetryMS)
-		case endGivenUp:
+		case noticeGivenUp:
 			reply = resp.Error(errors.New("given up"))
 		}
 		r.remember(&message{rec: rec}, reply)
@@ -668,9 +668,9 @@
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
 		case decide.ActRefuse:
-			r.ended(a, endHandedBack)
+			r.ended(a, noticeHandedBack)
 		case decide.ActFail:
-			r.ended(a, endGivenUp)
+			r.ended(a, noticeGivenUp)
 		}
 	}
 	for _, m := range fresh {
@@ -722,13 +722,13 @@
 	}
 	m.over = true
 	if m.call != nil { // before anybody is told
-		m.call.takeOut(m)
+		m.call.removeMessage(m)
 	}
 	ms := (a.After + 999) / 1000
 	if q := m.req; q != nil { // not taken on: the client hears it at once
 		m.req = nil
 		delete(r.waiting, q)
-		if word == endHandedBack {
+		if word == noticeHandedBack {
 			q.answer(resp.Busy(ms))
 		} else {
 			q.answer(resp.Error(errors.New("given up")))
@@ -737,7 +737,7 @@
 		return
 	}
 	r.drop(m)
-	if word == endHandedBack {
+	if word == noticeHandedBack {
 		r.remember(m, resp.Busy(ms))
 	} else {
 		r.remember(m, resp.Error(errors.New("given up")))
@@ -761,13 +761,13 @@
 
 // end logs how a message ended and has the platform told.
 func (r *Relay) end(m *message, word string, ms int64) {
-	if word == endGivenUp {
+	if word == noticeGivenUp {
 		ms = 0
 	}
 	n := notice{m.rec.ID, word, ms, m.rec.Deadline}
-	r.notices.owed.Add(1)
+	r.notices.unconfirmed.Add(1)
 	// The notice goes out whether or not it could be logged.
-	r.wal.submit(&record{Kind: recEnding, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(error) { r.notices.in.put(n) })
+	r.wal.submit(&record{Kind: recEnding, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(error) { r.notices.incoming.put(n) })
 }
 
 // act carries out what is no final answer. What is to be sent or called off is
@@ -796,21 +796,21 @@
 	case decide.ActTimer:
 		r.timers.add(now + a.After)
 	case decide.ActProbe:
-		if ep := r.endpoint(a.Endpoint); ep != nil && !ep.gone {
-			h, num := ep.home, a.Endpoint // a is of a buffer that the next step fills again
+		if ep := r.endpoint(a.Endpoint); ep != nil && !ep.withdrawn {
+			h, num := ep.conns, a.Endpoint // a is of a buffer that the next step fills again
 			go func() {
 				o := probe(r.ctx, h)
 				r.in.put(event{probed: num, result: &o})
 			}()
 		}
 	case decide.ActClose:
-		if ep := r.endpoints[a.Endpoint]; ep != nil && ep.home != nil {
-			ep.home.closeIdle()
+		if ep := r.endpoints[a.Endpoint]; ep != nil && ep.conns != nil {
+			ep.conns.closeIdle()
 		}
 	case decide.ActOutage:
-		r.keepOutage(a.Endpoint)
+		r.logOutage(a.Endpoint)
 	case decide.ActRelease:
-		r.release(a.Endpoint)
+		r.releaseEndpoint(a.Endpoint)
 	case decide.ActLog:
 		r.log.Info("policy", "says", a.Text)
 	}
@@ -821,7 +821,7 @@
 func (r *Relay) form(num decide.Endpoint) *call {
 	ep := r.endpoint(num)
 	for _, c := range r.forming {
-		if ep != nil && c.ep == ep && len(c.msgs) < ep.batch {
+		if ep != nil && c.ep == ep && len(c.msgs) < ep.maxBatch {
 			return c
 		}
 	}
@@ -833,7 +833,7 @@
 // notSent tells the policy of an attempt that never left. The loop comes by
 // again for it.
 func (r *Relay) notSent(m *message, c *call, err error) {
-	r.in.put(event{unsent: m, call: c, result: &outcome{what: decide.NotSent, err: err}})
+	r.in.put(event{unsent: m, call: c, result: &callResult{outcome: decide.NotSent, err: err}})
 }
 
 // pull takes a message out of a call that has not begun; the others must not
@@ -849,7 +849,7 @@
 // launch logs the attempts of a call and then makes it, once the client of each
 // of its messages has heard.
 func (r *Relay) launch(c *call) {
-	if c.stop != nil || slices.ContainsFunc(c.msgs, func(m *message) bool { return !m.acknowledged }) {
+	if c.cancel != nil || slices.ContainsFunc(c.msgs, func(m *message) bool { return !m.acknowledged }) {
 		return
 	}
 	now := r.now()
@@ -858,9 +858,9 @@
 			return true
 		}
 		m.pending = nil
-		if ep := c.ep; ep == nil || ep.gone || ep.waitUntil > now || ep.cell != m.rec.Dest || m.until <= now || m.over ||
-			(part{by: m.repeatBy()}).late(r.instant(now)) {
-			r.notSent(m, c, errNoCall)
+		if ep := c.ep; ep == nil || ep.withdrawn || ep.waitUntil > now || ep.dest != m.rec.Dest || m.until <= now || m.over ||
+			(callItem{repeatUntil: m.repeatBy()}).repeatExpired(r.instant(now)) {
+			r.notSent(m, c, errNotStarted)
 			return true
 		}
 		return false
@@ -871,12 +871,12 @@
 	// The one that is waited for longest leads: an endpoint may go by the first
 	// message, and once that is over it must not answer for the others.
 	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.until, a.until) })
-	c.ctx, c.stop = context.WithCancelCause(r.ctx)
+	c.ctx, c.cancel = context.WithCancelCause(r.ctx)
 	c.ep.calls[c] = true
 	r.calls++
 	for _, m := range c.msgs {
 		m.call = c
-		c.out++
+		c.unfinished++
 		if m.recoveredUntried {
 			m.recoveredUntried = false
 			r.untried.called++
@@ -884,21 +884,21 @@
 			r.logUntried(false)
 		}
 	}
-	h, msgs, loads := c.ep.home, slices.Clone(c.msgs), r.cfg.loads
-	parts := make([]part, 0, len(msgs)) // the log's goroutine alone appends
+	h, msgs, loads := c.ep.conns, slices.Clone(c.msgs), r.cfg.loads
+	parts := make([]callItem, 0, len(msgs)) // the log's goroutine alone appends
 	for i, m := range msgs {
-		p := part{m: m, rec: m.rec, limit: time.Duration(m.until-now) * time.Microsecond, by: m.repeatBy()}
+		p := callItem{message: m, rec: m.rec, timeout: time.Duration(m.until-now) * time.Microsecond, repeatUntil: m.repeatBy()}
 		m.sent = r.instant(now)
 		r.wal.submit(&record{Kind: recAttempt, ID: m.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
 			if err == nil {
 				parts = append(parts, p)
 			} else {
-				r.in.put(event{call: c, msg: m, result: &outcome{what: decide.NotSent, err: errUnlogged}})
+				r.in.put(event{call: c, msg: m, result: &callResult{outcome: decide.NotSent, err: errAttemptNotLogged}})
 			}
 			if i < len(msgs)-1 || len(parts) == 0 {
 				return
 			}
-			go c.run(h, parts, loads, func(m *message, o outcome) {
+			go c.run(h, parts, loads, func(m *message, o callResult) {
 				r.in.put(event{call: c, msg: m, result: &o})
 			})
 		})
@@ -908,18 +908,18 @@
 // callOff stops waiting for a message of a call. The call itself goes on as
 // long as another of its messages wants it.
 func (r *Relay) callOff(c *call, m *message) {
-	unsent := c.takeOut(m)
+	unsent := c.removeMessage(m)
 	for _, x := range c.msgs {
 		if x.call == c && !x.cancelling {
-			o := outcome{what: decide.Cancelled, err: errCancelled}
+			o := callResult{outcome: decide.Cancelled, err: errCancelled}
 			if unsent { // and it will not be
-				o.what = decide.NotSent
+				o.outcome = decide.NotSent
 			}
 			r.in.put(event{call: c, msg: m, result: &o})
 			return
 		}
 	}
-	c.stop(errCancelled)
+	c.cancel(errCancelled)
 }
 
 // waits books a told wait, for the endpoint or for all of its destination's.
@@ -930,47 +930,47 @@
 	bind := func(ep *endpoint) {
 		ep.waitUntil = max(ep.waitUntil, until)
 		for c := range ep.calls {
-			c.withhold(errTold)
+			c.cancelUnsent(errRetryAfter)
 		}
 	}
-	if bind(told); told.apart || told.num >= madeUp { // no list says whose the latter is
+	if bind(told); told.separateRoute || told.num >= unlistedEndpointBit { // no list says whose the latter is
 		return
 	}
-	r.view = r.directory.Of(told.cell, r.view[:0])
+	r.view = r.directory.Of(told.dest, r.view[:0])
 	for i := range r.view {
-		if ep := r.endpoint(decide.Endpoint(r.view[i].Number)); ep != told && !ep.apart {
+		if ep := r.endpoint(decide.Endpoint(r.view[i].Number)); ep != told && !ep.separateRoute {
 			bind(ep)
 		}
 	}
 }
 
 // returned books what became of a call, or of one of its messages alone.
-func (r *Relay) returned(c *call, only *message, o *outcome) {
-	if o.wait > 0 {
-		r.waits(c.ep, r.now()+o.wait)
+func (r *Relay) returned(c *call, only *message, o *callResult) {
+	if o.retryAfter > 0 {
+		r.waits(c.ep, r.now()+o.retryAfter)
 	}
-	if c.ep.home != nil && c.ep.suspect(o, r.now()) {
-		c.ep.home.closeIdle()
+	if c.ep.conns != nil && c.ep.recordResult(o, r.now()) {
+		c.ep.conns.closeIdle()
 	}
 	for _, m := range c.msgs {
 		if m.call != c || only != nil && only != m {
 			continue // it had its outcome before
 		}
 		end := *o
-		if x, ok := o.ends[m.rec.ID]; ok {
-			end.what, end.settled = x.what, x.settled
+		if x, ok := o.itemResults[m.rec.ID]; ok {
+			end.outcome, end.settled = x.outcome, x.settled
 		}
 		r.finished(m, c, &end)
 	}
-	if only != nil && c.out == 0 {
-		c.stop(errCancelled) // nobody waits for it any more
+	if only != nil && c.unfinished == 0 {
+		c.cancel(errCancelled) // nobody waits for it any more
 	}
 }
 
 // finished books the end of a message's attempt.
-func (r *Relay) finished(m *message, c *call, o *outcome) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.what, Wait: o.wait,
-		Slots: o.slots, Crowded: o.crowded, Settled: o.settled || m.over, Took: o.took, Load: o.load}
+func (r *Relay) finished(m *message, c *call, o *callResult) {
+	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.outcome, Wait: o.retryAfter,
+		Slots: o.slotsTaken, Crowded: o.tooManyConns, Settled: o.settled || m.over, Took: o.elapsed, Load: o.load}
 	if c.ep != nil {
 		e.Endpoint = c.ep.num
 	}
@@ -979,12 +979,12 @@
 		m.call = nil
 		switch {
 		case !m.doubt.IsZero():
-		case o.what.NeverRan(): // so what is not known of an earlier attempt's time does not matter
+		case o.outcome.NeverRan(): // so what is not known of an earlier attempt's time does not matter
 			m.windowUnknown = false
 		default:
 			m.doubt = m.sent
 		}
-		if c.out--; c.out == 0 {
+		if c.unfinished--; c.unfinished == 0 {
 			r.calls--
 			delete(c.ep.calls, c)
 		}
@@ -994,20 +994,20 @@
 		return
 	}
 	r.events = append(r.events, e)
-	if o.what == decide.Delivered {
+	if o.outcome == decide.Delivered {
 		r.log.Debug("delivered", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "took_ms", o.took/1000, "left_ms", r.leftMS(m))
+			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.leadID(), "took_ms", o.elapsed/1000, "left_ms", r.leftMS(m))
 	} else {
 		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
-			"conn_reused", o.reused, "conn_idle_ms", o.idle.Milliseconds(),
+			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.leadID(), "outcome", int(o.outcome), "status", o.status, "took_ms", o.elapsed/1000,
+			"conn_reused", o.priorCalls, "conn_idle_ms", o.connIdle.Milliseconds(),
 			"err", o.err)
 	}
 	switch {
 	case o.settled:
 		r.wal.submit(&record{Kind: recEnd, ID: m.rec.ID, Ran: true}, nil)
 	case logged:
-		r.wal.submit(&record{Kind: recOutcome, ID: m.rec.ID, Ran: !o.what.NeverRan()}, nil)
+		r.wal.submit(&record{Kind: recOutcome, ID: m.rec.ID, Ran: !o.outcome.NeverRan()}, nil)
 	}
 	if o.settled && !m.over {
 		m.over = true
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -11,143 +11,144 @@
 	"troutusher/internal/membership"
 )
 
-// The list as the loop has it: the directory knows every endpoint in few bytes, and
-// only those that a call, a wait or a connection needs are objects of the loop.
+// This file is the loop's view of the membership list. The directory stores every listed endpoint in a few bytes. The
+// loop keeps an endpoint object only for those with a call, a Retry-After or a connection.
 
 const (
-	listChunk = 512 // changes of a list that are put in force at once
-	yieldEach = 128 // entries read after which others may run
-	// A goroutine that is always ready lets others run, but with one processor what comes
-	// over sockets is then looked for every 10 ms only: it rests after each listTurn.
-	listTurn   = 4 * time.Millisecond
-	listRest   = 50 * time.Microsecond // at least; a millisecond where the system's timers are coarse
-	leaveLooks = 64                    // endpoints looked at for whether they can be forgotten, with each change
-	// directoryPart is the part of the memory that the directory may take, in tenths.
-	directoryPart = 6
-	// madeUp marks the number of an endpoint that no list names.
-	madeUp = 1 << 63
+	changesPerStep  = 512 // changes of a list that the loop applies at once
+	entriesPerYield = 128 // entries read after which the reading goroutine yields
+	// A goroutine that never blocks yields to others, but on a single processor the runtime then polls the network
+	// only every 10 ms. So work on a list sleeps for listPause after each listTimeSlice.
+	listTimeSlice         = 4 * time.Millisecond
+	listPause             = 50 * time.Microsecond // at least; a millisecond if the system's timers are coarse
+	forgetChecksPerChange = 64                    // endpoints that each call of forgetEndpoints checks
+	// directoryMemoryTenths is the share of the memory limit that the directory may use, in tenths.
+	directoryMemoryTenths = 6
+	// unlistedEndpointBit is set in the numbers of endpoints that no list names.
+	unlistedEndpointBit = 1 << 63
 )
 
-// directoryLimit is the bytes that the directory may take.
-func directoryLimit(l *Limits) int64 { return int64(l.MemoryMB) << 20 / 10 * directoryPart }
+// directoryLimit is the memory limit of the directory in bytes.
+func directoryLimit(l *Limits) int64 { return int64(l.MemoryMB) << 20 / 10 * directoryMemoryTenths }
 
-// reading is a list that discovery reads.
-type reading struct {
+// listReceiver receives a list from discovery and passes it on to the loop.
+type listReceiver struct {
 	*membership.Stage
-	clock clock.Clock
-	put   func(event)
-	drain *atomic.Bool // the loop is to be told, and has not looked yet
-	count int
-	turn  turn
+	clock       clock.Clock
+	enqueue     func(event)
+	drainQueued *atomic.Bool // a drain event is enqueued that the loop has not processed
+	entries     int
+	slice       timeSlice
 }
 
-// turn tells when a long work is to rest.
-type turn struct{ began clock.Instant }
+// timeSlice limits how long a goroutine works without a pause.
+type timeSlice struct{ started clock.Instant }
 
-// over reports whether the turn is, and begins the next.
-func (t *turn) over(now clock.Instant) bool {
-	if !t.began.IsZero() && now.Sub(t.began) < listTurn {
+// expired reports whether the time slice is over, and begins the next one if so.
+func (t *timeSlice) expired(now clock.Instant) bool {
+	if !t.started.IsZero() && now.Sub(t.started) < listTimeSlice {
 		return false
 	}
-	t.began = now
+	t.started = now
 	return true
 }
 
-// begin begins a list, once the one before it is in force.
-func (r *Relay) begin(ctx context.Context) (membership.Receiver, error) {
-	s, err := r.directory.Stage(ctx)
+// beginList begins to receive a list, once the list before it is in force.
+func (r *Relay) beginList(ctx context.Context) (membership.Receiver, error) {
+	stage, err := r.directory.Stage(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return &reading{Stage: s, clock: r.clock, put: r.in.put, drain: &r.drains}, nil
+	return &listReceiver{Stage: stage, clock: r.clock, enqueue: r.in.put, drainQueued: &r.drains}, nil
 }
 
-func (l *reading) Entry(e *membership.Entry, bind bool) error {
-	told, err := l.Stage.Entry(e, bind)
-	if told && l.drain.CompareAndSwap(false, true) {
-		l.put(event{drains: true})
+func (l *listReceiver) Entry(e *membership.Entry, bind bool) error {
+	drains, err := l.Stage.Entry(e, bind)
+	if drains && l.drainQueued.CompareAndSwap(false, true) {
+		l.enqueue(event{drains: true})
 	}
-	if l.count++; l.count%yieldEach != 0 {
+	if l.entries++; l.entries%entriesPerYield != 0 {
 		return err
 	}
-	if runtime.Gosched(); l.turn.over(l.clock.Now()) {
-		time.Sleep(listRest)
-		l.turn.began = l.clock.Now()
+	if runtime.Gosched(); l.slice.expired(l.clock.Now()) {
+		time.Sleep(listPause)
+		l.slice.started = l.clock.Now()
 	}
 	return err
 }
 
-func (l *reading) End(revision int64, complete bool) {
-	l.put(event{update: l.Commit(revision, complete)})
+func (l *listReceiver) End(revision int64, complete bool) {
+	l.enqueue(event{update: l.Commit(revision, complete)})
 }
 
-// Endpoints lists a destination's endpoints for the policy.
+// Endpoints lists the endpoints of a destination for the policy.
 func (r *Relay) Endpoints(dest int, into []decide.Entry) []decide.Entry {
 	r.view = r.directory.Of(dest, r.view[:0])
 	for i := range r.view {
-		into = append(into, r.entry(&r.view[i]))
+		into = append(into, r.policyEntry(&r.view[i]))
 	}
 	return into
 }
 
-// entry is an endpoint in the policy's words.
-func (r *Relay) entry(e *membership.Endpoint) decide.Entry {
-	x := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Gone, Rate: e.Rate}
+// policyEntry converts an endpoint of the directory to an entry for the policy.
+func (r *Relay) policyEntry(e *membership.Endpoint) decide.Entry {
+	entry := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Gone, Rate: e.Rate}
 	switch e.Phase {
 	case membership.Up:
-		x.State = decide.Ready
+		entry.State = decide.Ready
 	case membership.Draining:
-		x.State = decide.Draining
+		entry.State = decide.Draining
 	default:
-		return x
+		return entry
 	}
 	p := r.directory.Place(e.Place)
-	x.Zone, x.Kind = place(r.cfg.zones, p.Locality), place(r.cfg.kinds, p.Flavor)
-	return x
+	entry.Zone, entry.Kind = indexOf(r.cfg.zones, p.Locality), indexOf(r.cfg.kinds, p.Flavor)
+	return entry
 }
 
-// update begins to put a list in force, and does so whole where it is short.
-func (r *Relay) update(u *membership.Update) {
+// startListUpdate begins to apply a list. A short list is applied completely.
+func (r *Relay) startListUpdate(u *membership.Update) {
 	r.applying = u
-	r.apply()
+	r.applyNextChanges()
 }
 
-// apply goes on with it. The rest of a long one has its turn between other things.
-func (r *Relay) apply() {
+// applyNextChanges applies the next changes of the list. The loop handles other events between the steps of a long
+// list.
+func (r *Relay) applyNextChanges() {
 	var done bool
-	if r.changes, done = r.applying.Apply(listChunk, r.changes[:0]); done {
+	if r.changes, done = r.applying.Apply(changesPerStep, r.changes[:0]); done {
 		r.applying = nil
 	}
-	r.changed()
+	r.publishChanges()
 }
 
-// applyAll puts all of it in force, where there is nothing else to do.
-func (r *Relay) applyAll() {
+// applyAllChanges applies the rest of the list at once, for when the loop has no other events to handle.
+func (r *Relay) applyAllChanges() {
 	for r.applying != nil {
-		r.apply()
+		r.applyNextChanges()
 	}
 }
 
-// drained books what a list that is still being read says to drain.
-func (r *Relay) drained() {
+// applyDrains applies the drains in a list that is still being received.
+func (r *Relay) applyDrains() {
 	r.drains.Store(false)
 	for done := false; !done; {
-		r.changes, done = r.directory.Drained(listChunk, r.changes[:0])
-		r.changed()
+		r.changes, done = r.directory.Drained(changesPerStep, r.changes[:0])
+		r.publishChanges()
 	}
 }
 
-// changed tells of changes: the policy those of destinations that it holds, and the
-// loop's own endpoints theirs.
-func (r *Relay) changed() {
+// publishChanges passes changes on: to the policy those of destinations that it has state about, and to the loop's
+// endpoint objects their own.
+func (r *Relay) publishChanges() {
 	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
 	for i := range r.changes {
-		c := &r.changes[i]
-		if ep := r.endpoints[decide.Endpoint(c.Now.Number)]; ep != nil {
-			r.relist(ep, &c.Now)
+		change := &r.changes[i]
+		if ep := r.endpoints[decide.Endpoint(change.Now.Number)]; ep != nil {
+			r.applyListing(ep, &change.Now)
 		}
-		if r.policy.Holds(c.Was.Dest) || r.policy.Holds(c.Now.Dest) {
-			e.Entries = append(e.Entries, r.entry(&c.Now))
+		if r.policy.Holds(change.Was.Dest) || r.policy.Holds(change.Now.Dest) {
+			e.Entries = append(e.Entries, r.policyEntry(&change.Now))
 		}
 	}
 	if len(e.Entries) > 0 {
@@ -159,104 +160,105 @@
 			id, _ := r.directory.Text(r.changes[i].Now.Number)
 			ids = append(ids, id)
 		}
-		r.tellOutages(ids)
+		r.restoreOutages(ids)
 	}
-	r.forget()
+	r.forgetEndpoints()
 }
 
-// endpoint gives the loop's endpoint of a number, made where there is none; nil where
-// the directory does not know it.
+// endpoint returns the loop's endpoint object with a number and creates it if there is none. It returns nil if the
+// directory does not know the endpoint.
 func (r *Relay) endpoint(num decide.Endpoint) *endpoint {
 	ep := r.endpoints[num]
 	if ep == nil {
-		e, ok := r.directory.Get(membership.Number(num))
-		if !ok || num >= madeUp {
+		listed, ok := r.directory.Get(membership.Number(num))
+		if !ok || num >= unlistedEndpointBit {
 			return nil
 		}
 		ep = &endpoint{num: num, calls: map[*call]bool{}}
 		r.endpoints[num] = ep
-		r.directory.Hold(e.Number)
-		r.relist(ep, &e)
+		r.directory.Hold(listed.Number)
+		r.applyListing(ep, &listed)
 	}
 	ep.released = false
 	return ep
 }
 
-// relist has an endpoint of the loop be as the list says.
-func (r *Relay) relist(ep *endpoint, e *membership.Endpoint) {
-	if e.Phase == membership.Removed {
-		r.leave(ep)
+// applyListing updates an endpoint object to what the list says.
+func (r *Relay) applyListing(ep *endpoint, listed *membership.Endpoint) {
+	if listed.Phase == membership.Removed {
+		r.withdrawEndpoint(ep)
 		return
 	}
-	id, hostPort := r.directory.Text(e.Number)
-	if ep.id = id; ep.hostPort != hostPort || ep.cell != e.Dest {
-		// It moved under its old name: nothing more goes to the old place.
-		r.leave(ep)
-		ep.hostPort, ep.cell = hostPort, e.Dest
+	id, hostPort := r.directory.Text(listed.Number)
+	if ep.id = id; ep.hostPort != hostPort || ep.dest != listed.Dest {
+		// The id was listed with another address or destination before: no new call goes to the old one.
+		r.withdrawEndpoint(ep)
+		ep.hostPort, ep.dest = hostPort, listed.Dest
 	}
-	p := r.directory.Place(e.Place)
-	ep.zone, ep.batch, ep.apart = p.Locality[:min(len(p.Locality), zoneNameMost)], 1, false
-	if at := place(r.cfg.kinds, p.Flavor); at >= 0 && at < len(r.cfg.Policy.Kinds) {
-		kind := r.cfg.Policy.Kinds[at]
-		ep.batch, ep.apart = max(kind.Batch, 1), kind.Apart
+	p := r.directory.Place(listed.Place)
+	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), zoneNameMost)], 1, false
+	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
+		kind := r.cfg.Policy.Kinds[i]
+		ep.maxBatch, ep.separateRoute = max(kind.Batch, 1), kind.Apart
 	}
-	if e.Phase != membership.Up {
-		r.leave(ep)
+	if listed.Phase != membership.Up {
+		r.withdrawEndpoint(ep)
 		return
 	}
-	if ep.home == nil || ep.gone {
-		ep.home = r.pool.home(ep.hostPort)
+	if ep.conns == nil || ep.withdrawn {
+		ep.conns = r.pool.forHost(ep.hostPort)
 	}
-	ep.gone = false
+	ep.withdrawn = false
 }
 
-// leave lets nothing new go to an endpoint; a call that still waits for a
-// connection there would begin it too late.
-func (r *Relay) leave(ep *endpoint) {
-	if !ep.gone {
-		ep.gone, ep.goneAt = true, r.now()
-		r.toForget(ep)
+// withdrawEndpoint stops new calls to an endpoint. A call that still waits for a connection there is cancelled, since
+// it would begin too late.
+func (r *Relay) withdrawEndpoint(ep *endpoint) {
+	if !ep.withdrawn {
+		ep.withdrawn, ep.withdrawnAt = true, r.now()
+		r.queueForget(ep)
 	}
 	for c := range ep.calls {
-		c.withhold(errDrained)
+		c.cancelUnsent(errDrained)
 	}
-	if ep.home != nil {
-		ep.home.close()
+	if ep.conns != nil {
+		ep.conns.close()
 	}
 }
 
-// release: the policy keeps nothing of an endpoint any more.
-func (r *Relay) release(num decide.Endpoint) {
+// releaseEndpoint records that the policy keeps no state about an endpoint any more.
+func (r *Relay) releaseEndpoint(num decide.Endpoint) {
 	if ep := r.endpoints[num]; ep != nil {
 		ep.released = true
-		r.toForget(ep)
-		r.forget()
+		r.queueForget(ep)
+		r.forgetEndpoints()
 	}
 }
 
-// toForget has an endpoint looked at for whether it can be forgotten.
-func (r *Relay) toForget(ep *endpoint) {
-	if !ep.leaving {
-		ep.leaving = true
+// queueForget queues an endpoint for forgetEndpoints.
+func (r *Relay) queueForget(ep *endpoint) {
+	if !ep.forgetQueued {
+		ep.forgetQueued = true
 		r.leaving = append(r.leaving, ep)
 	}
 }
 
-// forget drops endpoints that have left, or that nothing is known or out of any more:
-// the list's comings and goings, and what was used once, must not fill the memory.
-func (r *Relay) forget() {
+// forgetEndpoints deletes queued endpoint objects that are withdrawn, or that the policy has released, once they have
+// neither calls nor a Retry-After. Otherwise the objects of endpoints that the list adds and removes, or that were
+// used once, would accumulate in memory.
+func (r *Relay) forgetEndpoints() {
 	now := r.now()
-	for range min(leaveLooks, len(r.leaving)) {
+	for range min(forgetChecksPerChange, len(r.leaving)) {
 		ep := r.leaving[0]
 		r.leaving = r.leaving[1:]
 		switch {
-		case !ep.gone && !ep.released: // it came back
-			ep.leaving = false
-		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.goneAt+forgetGone:
+		case !ep.withdrawn && !ep.released: // it is in use again
+			ep.forgetQueued = false
+		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.withdrawnAt+forgetGone:
 			r.leaving = append(r.leaving, ep)
 		default:
-			if ep.leaving = false; ep.home != nil {
-				ep.home.closeIdle()
+			if ep.forgetQueued = false; ep.conns != nil {
+				ep.conns.closeIdle()
 			}
 			delete(r.endpoints, ep.num)
 			r.directory.Release(membership.Number(ep.num))
@@ -264,8 +266,9 @@
 	}
 }
 
-func place(at map[string]int, name string) int {
-	if i, ok := at[name]; ok {
+// indexOf returns the index of a name, or -1 if the name is unknown.
+func indexOf(indexes map[string]int, name string) int {
+	if i, ok := indexes[name]; ok {
 		return i
 	}
 	return -1
--- a/internal/relay/ops_test.go
+++ b/internal/relay/ops_test.go
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	c := newClients(testSet(t), clock.System(), quietLog(), accept, func(*request, bool) {})
+	c := newClients(parseTestConfig(t), clock.System(), quietLog(), accept, func(*request, bool) {})
 	cc := &clientConn{Conn: conn, clock: clock.System(), spoke: true}
 	c.mu.Lock()
 	cc.release()
--- a/internal/relay/outage_test.go
+++ b/internal/relay/outage_test.go
@@ -22,13 +22,13 @@
 func TestNextRequestIsInTime(t *testing.T) {
 	for _, relays := range []int{1, 3, 30, 300, 3000, 100000} {
 		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
-		for _, due := range []time.Duration{-time.Hour, -time.Second, time.Second, discDue} {
+		for _, due := range []time.Duration{-time.Hour, -time.Second, time.Second, knownAfterSilence} {
 			for n := range 100 {
-				d.due = d.clock.Now().Add(due)
-				if got := d.rest(n+1, 0.999999) + discAnswer; got >= discDue {
+				d.knownBy = d.clock.Now().Add(due)
+				if got := d.refusalDelay(n+1, 0.999999) + minResponseWait; got >= knownAfterSilence {
 					t.Fatalf("%d relays, %d refusals: an answer %v later", relays, n+1, got)
 				}
-				if got := d.wait(n, 0.999999) + discAnswer; got >= discDue {
+				if got := d.nextRequestDelay(n, 0.999999) + minResponseWait; got >= knownAfterSilence {
 					t.Fatalf("%d relays, %d without an answer: the next one's %v later", relays, n, got)
 				}
 			}
@@ -129,8 +129,8 @@
 				heard := make(chan int64, 8*relays)
 				var all []*discovery
 				for range relays {
-					d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log), collect(func(l *List) { heard <- l.Revision }))
-					d.grace = 100 * time.Millisecond
+					d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log), collectLists(func(l *List) { heard <- l.Revision }))
+					d.reopenGrace = 100 * time.Millisecond
 					all = append(all, d)
 					running.Add(1)
 					go func() { defer running.Done(); d.run(ctx) }()
@@ -143,7 +143,7 @@
 				waitFor(t, "failures of each relay", func() bool { return log.seen.Load() >= failures*relays })
 				if moved {
 					for _, d := range all {
-						d.moves.put(second)
+						d.addresses.put(second)
 					}
 				}
 				rate := float64(asked.Load()) / time.Since(began).Seconds()
@@ -158,7 +158,7 @@
 						t.Fatalf("%d of %d relays have heard", n, relays)
 					}
 				}
-				if most := time.Duration(log.most.Load()) * time.Millisecond; most+discAnswer >= discDue {
+				if most := time.Duration(log.most.Load()) * time.Millisecond; most+minResponseWait >= knownAfterSilence {
 					t.Errorf("%v were left between two requests", most)
 				}
 				if n := late.Load(); n > 4*relays {
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -6,64 +6,66 @@
 	"troutusher/internal/membership"
 )
 
-// What a relay knows of outages and of the ramps after them outlasts its process in the
-// log: one that begins anew at a cold destination as at a sound one helps to push it over.
-// Told waits do not; a restart ends them.
+// The relay logs what the policy knows of outages and of the slow start after them, so that it survives a restart: a
+// relay that starts over and sends to a recovering destination at the full rate helps to overload it again. Waits
+// from Retry-After are not logged; they end with the process.
 
-// keepOutage logs what the policy knows of an endpoint's outage by now, or that it is over.
-func (r *Relay) keepOutage(num decide.Endpoint) {
-	ep := r.endpoint(num) // known under its id though it leaves
+// logOutage logs what the policy currently knows of an endpoint's outage, or that the outage is over.
+func (r *Relay) logOutage(num decide.Endpoint) {
+	ep := r.endpoint(num) // still has its id if the endpoint was just removed
 	if ep == nil || ep.id == "" {
 		return
 	}
 	rec := &record{Kind: recOutage, ID: ep.id}
-	if o, ok := r.policy.Outage(num); ok {
-		o = moved(o, func(t decide.Time) decide.Time { return decide.Time(r.instant(t)) })
-		o.Endpoint = 0 // numbers are this process's own
-		rec.Outage = &o
+	if outage, ok := r.policy.Outage(num); ok {
+		outage = convertOutageTimes(outage, func(t decide.Time) decide.Time { return decide.Time(r.instant(t)) })
+		outage.Endpoint = 0 // the number is valid in this process only
+		rec.Outage = &outage
 	}
 	r.wal.submit(rec, nil)
 }
 
-// moved turns the moments of an outage into those of another clock.
-func moved(o decide.OutageMemory, to func(decide.Time) decide.Time) decide.OutageMemory {
-	o.FirstBad, o.BadAt = to(o.FirstBad), to(o.BadAt)
-	if o.GoodAt != 0 {
-		o.GoodAt, o.GoodSent = max(to(o.GoodAt), 1), to(o.GoodSent)
+// convertOutageTimes converts the times in an outage to another clock.
+func convertOutageTimes(outage decide.OutageMemory, convert func(decide.Time) decide.Time) decide.OutageMemory {
+	outage.FirstBad, outage.BadAt = convert(outage.FirstBad), convert(outage.BadAt)
+	if outage.GoodAt != 0 {
+		outage.GoodAt, outage.GoodSent = max(convert(outage.GoodAt), 1), convert(outage.GoodSent)
 	}
-	return o
+	return outage
 }
 
-// resumeOutages takes up what the log says of outages: at once for endpoints that are
-// listed, for the others when a list names them.
+// resumeOutages restores the outages found in the log: at once for endpoints that are listed, and for the others when
+// a list names them.
 func (r *Relay) resumeOutages(found []*record) {
 	r.outages = map[string]decide.OutageMemory{}
 	ids := make([]string, 0, len(found))
 	for _, rec := range found {
-		r.outages[rec.ID] = moved(*rec.Outage, func(t decide.Time) decide.Time { return r.policyTime(clock.Instant(t)) })
+		r.outages[rec.ID] = convertOutageTimes(*rec.Outage, func(t decide.Time) decide.Time {
+			return r.policyTime(clock.Instant(t))
+		})
 		ids = append(ids, rec.ID)
 	}
-	r.tellOutages(ids)
+	r.restoreOutages(ids)
 	if len(found) > 0 {
 		r.log.Info("resumed outages", "found", len(found), "not_listed", len(r.outages))
 	}
 }
 
-// tellOutages tells the policy of the outages, found at the start, of endpoints that are listed by now.
-func (r *Relay) tellOutages(ids []string) {
-	m := &decide.Memory{}
+// restoreOutages passes the outages found in the log to the policy, for those of the given endpoints that are listed.
+func (r *Relay) restoreOutages(ids []string) {
+	memory := &decide.Memory{}
 	for _, id := range ids {
-		o, found := r.outages[id]
-		e, listed := r.directory.Find(id)
-		if !found || !listed || e.Phase != membership.Up {
+		outage, found := r.outages[id]
+		ep, listed := r.directory.Find(id)
+		if !found || !listed || ep.Phase != membership.Up {
 			continue
 		}
 		delete(r.outages, id)
-		o.Endpoint, o.Dest = decide.Endpoint(e.Number), e.Dest
-		r.endpoint(o.Endpoint) // so that its id is known when it leaves
-		m.Outages = append(m.Outages, o)
+		outage.Endpoint, outage.Dest = decide.Endpoint(ep.Number), ep.Dest
+		r.endpoint(outage.Endpoint) // creates the object now, so that logOutage finds its id after a removal
+		memory.Outages = append(memory.Outages, outage)
 	}
-	if len(m.Outages) > 0 {
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: m})
+	if len(memory.Outages) > 0 {
+		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: memory})
 	}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -17,102 +17,104 @@
 	"troutusher/internal/clock"
 )
 
-// The connections to endpoints. They are our own, and not net/http's, for what
-// must be certain of each call: whether its last byte was written, that the
-// answer read is its own, and that nothing of it goes on once it is over.
+// The relay has its own connection pool instead of that of net/http, since it must know three things of each call:
+// whether the last byte of the request was written, that the response it read belongs to this call, and that nothing
+// of the call goes on once it is over.
 
 const (
-	poolSweep = 500 * time.Millisecond
-	// What an endpoint sends behind an answer comes with it or straight after;
-	// a connection is not used again before that could be seen.
-	poolSettle = 5 * time.Millisecond
-	poolMoment = 3 * time.Millisecond
+	poolSweepInterval = 500 * time.Millisecond
+	// connReuseDelay is how long a connection stays unused after a call. Surplus bytes that an endpoint sends after a
+	// response arrive with it or straight after, and must be seen before the connection carries another call.
+	connReuseDelay = 5 * time.Millisecond
+	lastByteDelay  = 3 * time.Millisecond // see poolConn.writeRequest
 )
 
 var (
-	errNoRoom = errors.New("no descriptor for another connection")
-	errTooBig = errors.New("more bytes than an answer may have")
+	errPoolFull         = errors.New("connection limit of the pool reached")
+	errResponseTooLarge = errors.New("response too large")
 )
 
-// pool keeps the connections of all endpoints within one number.
+// pool keeps the connections to all endpoints within one limit.
 type pool struct {
-	clock  clock.Clock
-	moment time.Duration // before a call's last byte
+	clock         clock.Clock
+	lastByteDelay time.Duration // wait before the last byte of a request
 
-	mu      sync.Mutex
-	connect time.Duration
-	keep    time.Duration
-	most    int
-	open    int         // dialled, in use or idle
-	idle    []*poolConn // the one idle for longest first
+	mu             sync.Mutex
+	connectTimeout time.Duration
+	idleTimeout    time.Duration
+	maxOpen        int
+	open           int         // connections that are being dialed, in use or idle
+	idle           []*poolConn // ordered by idle time, the longest first
 }
 
-// home is one endpoint's part of the pool.
-type home struct {
+// hostPool is the part of the pool that belongs to one endpoint address.
+type hostPool struct {
 	pool   *pool
 	addr   string
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
-	closed bool // under the pool's lock: nothing is kept any more
+	closed bool // guarded by pool.mu: connections are closed when they are put back
 }
 
-// poolConn is one connection, held by one call or idle.
+// poolConn is one connection, which is idle or held by one call.
 type poolConn struct {
 	net.Conn
-	home  *home
-	in    *bufio.Reader
-	left  int64         // bytes that may still be read for the answer
-	at    clock.Instant // the end of its last call
-	calls int           // that it carried before this one
-	// While an answer is read: the time that it may stand still, and what ends it.
-	pause   time.Duration
-	stalled *time.Timer
-	idle    time.Duration // from the last of them to this one
+	host       *hostPool
+	reader     *bufio.Reader
+	readBudget int64         // bytes that may still be read for the response
+	idleSince  clock.Instant // end of the last call
+	priorCalls int           // calls that the connection carried before the current one
+	// While a response is read, stallTimer expires if no data arrives for stallTimeout; zero otherwise.
+	stallTimeout time.Duration
+	stallTimer   *time.Timer
+	idleTime     time.Duration // time from the end of the previous call to the current one
 }
 
-// Read bounds what an answer may bring.
+// Read reads from the connection within the read budget of the response.
 func (c *poolConn) Read(b []byte) (int, error) {
-	if c.left <= 0 {
-		return 0, errTooBig
+	if c.readBudget <= 0 {
+		return 0, errResponseTooLarge
 	}
-	n, err := readOnce(c.Conn, b[:min(int64(len(b)), c.left)])
-	c.left -= int64(n)
-	if n > 0 && c.pause > 0 {
-		c.stalled.Reset(c.pause)
+	n, err := readWithRetry(c.Conn, b[:min(int64(len(b)), c.readBudget)])
+	c.readBudget -= int64(n)
+	if n > 0 && c.stallTimeout > 0 {
+		c.stallTimer.Reset(c.stallTimeout)
 	}
 	return n, err
 }
 
-func newPool(clk clock.Clock, connect, keep time.Duration, most int) *pool {
-	return &pool{clock: clk, connect: connect, keep: keep, most: most, moment: poolMoment}
+func newPool(clk clock.Clock, connectTimeout, idleTimeout time.Duration, maxOpen int) *pool {
+	return &pool{clock: clk, connectTimeout: connectTimeout, idleTimeout: idleTimeout, maxOpen: maxOpen,
+		lastByteDelay: lastByteDelay}
 }
 
-func (p *pool) home(addr string) *home {
-	return &home{pool: p, addr: addr, dial: func(ctx context.Context, addr string) (net.Conn, error) {
+func (p *pool) forHost(addr string) *hostPool {
+	return &hostPool{pool: p, addr: addr, dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		p.mu.Lock()
-		d := &net.Dialer{Timeout: p.connect, KeepAlive: -1}
+		d := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
 		p.mu.Unlock()
 		return d.DialContext(ctx, "tcp", addr)
 	}}
 }
 
-// tune takes the times of settings and the number of connections. A request
-// written to a connection that the endpoint is closing ends as a reset: ours
-// close first.
-func (p *pool) tune(s *decide.Settings, most int) {
-	keep := time.Duration(s.KeepAlive) * time.Microsecond
+// configure sets the timeouts from the settings and the limit of open connections. The idle timeout is shorter than
+// the endpoints' keep-alive time, so that the relay closes idle connections first: a request written to a connection
+// that the endpoint is just closing ends with a reset.
+func (p *pool) configure(s *decide.Settings, maxOpen int) {
+	keepAlive := time.Duration(s.KeepAlive) * time.Microsecond
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connect, p.keep, p.most = time.Duration(s.ConnectTimeout)*time.Microsecond, keep-keep/idleMargin, most
-	for p.open > p.most && len(p.idle) > 0 { // the number may have gone down
-		p.shut(p.idle[0])
+	p.connectTimeout, p.idleTimeout, p.maxOpen =
+		time.Duration(s.ConnectTimeout)*time.Microsecond, keepAlive-keepAlive/keepAliveMarginDivisor, maxOpen
+	for p.open > p.maxOpen && len(p.idle) > 0 { // the limit may have been lowered
+		p.closeLocked(p.idle[0])
 		p.idle = append(p.idle[:0], p.idle[1:]...)
 	}
 }
 
-// run closes what has been idle for too long, or was closed or written to by
-// its endpoint, until ctx ends.
+// run closes connections that were idle for too long, or that their endpoint closed or wrote to while they were idle.
+// It closes all idle connections when ctx ends.
 func (p *pool) run(ctx context.Context) {
-	tick := time.NewTicker(poolSweep)
+	tick := time.NewTicker(poolSweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -121,23 +123,23 @@
 			return
 		case <-tick.C:
 			now := p.clock.Now()
-			p.sweep(func(c *poolConn) bool { return p.stale(c, now) || !c.clean() }) // holds mu
+			p.sweep(func(c *poolConn) bool { return p.idleTooLong(c, now) || !c.isClean() }) // sweep holds mu
 		}
 	}
 }
 
-func (p *pool) stale(c *poolConn, now clock.Instant) bool {
-	return p.keep > 0 && now.Sub(c.at) >= p.keep
+func (p *pool) idleTooLong(c *poolConn, now clock.Instant) bool {
+	return p.idleTimeout > 0 && now.Sub(c.idleSince) >= p.idleTimeout
 }
 
-// sweep closes the idle connections that bad names.
-func (p *pool) sweep(bad func(*poolConn) bool) {
+// sweep closes the idle connections for which shouldClose returns true.
+func (p *pool) sweep(shouldClose func(*poolConn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if bad(c) {
-			p.shut(c)
+		if shouldClose(c) {
+			p.closeLocked(c)
 		} else {
 			kept = append(kept, c)
 		}
@@ -146,45 +148,44 @@
 	p.idle = kept
 }
 
-// shut closes a connection; the caller holds mu.
-func (p *pool) shut(c *poolConn) {
+// closeLocked closes a connection. The caller holds mu.
+func (p *pool) closeLocked(c *poolConn) {
 	c.Conn.Close()
 	p.open--
 }
 
-// drop closes a connection that a call held.
-func (c *poolConn) drop() {
-	p := c.home.pool
+// discard closes a connection that a call held.
+func (c *poolConn) discard() {
+	p := c.host.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shut(c)
+	p.closeLocked(c)
 }
 
-// get gives a connection: the one used last of those that are idle and clean,
-// or a new one.
-func (h *home) get(ctx context.Context) (*poolConn, error) {
+// get returns the most recently used connection that is idle and clean, or a new one.
+func (h *hostPool) get(ctx context.Context) (*poolConn, error) {
 	p := h.pool
 	p.mu.Lock()
 	now := p.clock.Now()
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i]
-		if c.home != h || now.Sub(c.at) < poolSettle {
+		if c.host != h || now.Sub(c.idleSince) < connReuseDelay {
 			continue
 		}
 		p.idle = append(p.idle[:i], p.idle[i+1:]...)
-		if !p.stale(c, now) && c.clean() {
-			c.calls, c.idle = c.calls+1, now.Sub(c.at)
+		if !p.idleTooLong(c, now) && c.isClean() {
+			c.priorCalls, c.idleTime = c.priorCalls+1, now.Sub(c.idleSince)
 			p.mu.Unlock()
 			return c, nil
 		}
-		p.shut(c)
+		p.closeLocked(c)
 	}
-	if p.open >= p.most { // the one that was idle for longest makes room, whosever it is
+	if p.open >= p.maxOpen { // closes the connection that was idle for longest, whichever endpoint it belongs to
 		if len(p.idle) == 0 {
 			p.mu.Unlock()
-			return nil, errNoRoom
+			return nil, errPoolFull
 		}
-		p.shut(p.idle[0])
+		p.closeLocked(p.idle[0])
 		p.idle = append(p.idle[:0], p.idle[1:]...)
 	}
 	p.open++
@@ -196,50 +197,49 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c := &poolConn{Conn: conn, home: h}
-	c.in = bufio.NewReader(c)
+	c := &poolConn{Conn: conn, host: h}
+	c.reader = bufio.NewReader(c)
 	return c, nil
 }
 
-// put gives a connection back after a call whose answer was read to its end.
+// put returns a connection to the pool after a call whose response was read to its end.
 func (c *poolConn) put() {
 	c.SetDeadline(time.Time{})
-	p := c.home.pool
+	p := c.host.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.home.closed || !c.clean() {
-		p.shut(c)
+	if c.host.closed || !c.isClean() {
+		p.closeLocked(c)
 		return
 	}
-	c.at = p.clock.Now()
+	c.idleSince = p.clock.Now()
 	p.idle = append(p.idle, c)
 }
 
-// closeIdle gives up the idle connections.
-func (h *home) closeIdle() { h.pool.sweep(func(c *poolConn) bool { return c.home == h }) }
+// closeIdle closes the idle connections to the host.
+func (h *hostPool) closeIdle() { h.pool.sweep(func(c *poolConn) bool { return c.host == h }) }
 
-// close gives them up for good: what calls still hold goes as they end.
-func (h *home) close() {
+// close closes the idle connections now and the connections that calls hold when they are put back.
+func (h *hostPool) close() {
 	h.pool.mu.Lock()
 	h.closed = true
 	h.pool.mu.Unlock()
 	h.closeIdle()
 }
 
-// clean reports whether nothing waits to be read: whatever comes before a
-// call's last byte is written is no answer to it, and an end is the
-// connection's end.
-func (c *poolConn) clean() bool {
-	if c.in.Buffered() > 0 {
+// isClean reports whether the connection is open and has no unread data. Whatever arrives before the last byte of a
+// request is written is no response to it, and an end of file means that the endpoint closed the connection.
+func (c *poolConn) isClean() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	n, err := unread(c.Conn)
+	n, err := peekSocket(c.Conn)
 	return n < 0 && err == nil
 }
 
-// unread looks, without waiting, at what a connection has received and nobody
-// has read: 1 where there is some, 0 where it has ended, -1 for nothing yet.
-func unread(conn net.Conn) (int, error) {
+// peekSocket checks, without waiting, whether a connection has received data that nobody has read: it returns 1 if
+// so, 0 at the end of file, and -1 if nothing has arrived.
+func peekSocket(conn net.Conn) (int, error) {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
@@ -249,96 +249,97 @@
 		return 0, err
 	}
 	n := -1
-	var got error
-	// Control and not Read: a deadline that has passed must not hide what came.
+	var peekErr error
+	// Control is used instead of Read since Read fails after the read deadline, even if data has arrived.
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		if n, _, got = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); errors.Is(got, syscall.EAGAIN) {
-			n, got = -1, nil
+		var buf [1]byte
+		if n, _, peekErr = syscall.Recvfrom(int(fd), buf[:],
+			syscall.MSG_PEEK|syscall.MSG_DONTWAIT); errors.Is(peekErr, syscall.EAGAIN) {
+			n, peekErr = -1, nil
 		}
 	})
-	return n, cmp.Or(err, got)
+	return n, cmp.Or(err, peekErr)
 }
 
-// counts is for tests and the log.
+// counts returns the numbers of open and idle connections, for tests and the log.
 func (p *pool) counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open, len(p.idle)
 }
 
-// write sends a whole request but for its last byte, makes sure that nothing
-// has come yet, and then sends that. An error means that the last byte was not written: the call never ran.
+// writeRequest writes a request except for its last byte, makes sure that nothing has been received yet, and then
+// writes the last byte. An error means that the last byte was not written, so the endpoint has not run the call.
 //
-// There is a moment before that byte: a connection that its endpoint has
-// dropped in silence, or drops now, is reset as soon as anything reaches it,
-// and shows so while it is still certain that the call has not run. commit is asked
-// when nothing but that byte is left; where it says no the byte stays.
-func (c *poolConn) write(ctx context.Context, text []byte, commit func() bool) error {
+// It waits for lastByteDelay before the last byte. A connection that its endpoint has dropped without notice, or is
+// just dropping, is reset as soon as data reaches the endpoint; the delay shows the reset while it is still certain
+// that the call has not run. commit is called when only the last byte is left; if it returns false the byte is not
+// written.
+func (c *poolConn) writeRequest(ctx context.Context, text []byte, commit func() bool) error {
 	last := len(text) - 1
 	if _, err := writeAll(c.Conn, text[:last]); err != nil {
 		return err
 	}
-	c.SetReadDeadline(clock.Deadline(c.home.pool.moment))
-	if _, err := c.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		return cmp.Or(err, errUnasked)
+	c.SetReadDeadline(clock.Deadline(c.host.pool.lastByteDelay))
+	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+		return cmp.Or(err, errUnexpectedData)
 	}
 	c.SetReadDeadline(time.Time{})
-	if err := ctx.Err(); err != nil { // its deadline may be the one just cleared
+	if err := ctx.Err(); err != nil { // the deadline just cleared may be the one set when ctx ended
 		return err
 	}
-	if !c.clean() {
-		return errUnasked
+	if !c.isClean() {
+		return errUnexpectedData
 	}
 	if !commit() {
-		return errTakenOut
+		return errMessageRemoved
 	}
-	// Not tried again: what commit has checked holds for this moment.
+	// The write is not retried: what commit has checked may no longer hold later.
 	n, err := c.Conn.Write(text[last:])
-	if n == 1 { // taken by the system, whatever it says besides
+	if n == 1 { // the kernel has accepted the byte, whatever error comes with it
 		return nil
 	}
 	return cmp.Or(err, io.ErrShortWrite)
 }
 
-var errUnasked = errors.New("connection ended or brought bytes before the call was written")
+var errUnexpectedData = errors.New("connection closed or data received before the request was written")
 
-// firstLine waits for an answer's first line and leaves it where it is.
-func firstLine(in *bufio.Reader) (string, error) {
+// peekStatusLine waits for the first line of a response and returns it without consuming it.
+func peekStatusLine(in *bufio.Reader) (string, error) {
 	for n := 1; ; n = in.Buffered() + 1 {
 		if _, err := in.Peek(n); err != nil {
 			return "", err
 		}
-		have, _ := in.Peek(in.Buffered())
-		for i, b := range have {
+		buffered, _ := in.Peek(in.Buffered())
+		for i, b := range buffered {
 			if b == '\n' {
-				return string(have[:i]), nil
+				return string(buffered[:i]), nil
 			}
 		}
 	}
 }
 
-// statusOf reads the code in a first line.
-func statusOf(line string) (int, error) {
+// parseStatus parses the status code in a status line.
+func parseStatus(line string) (int, error) {
 	if len(line) < 12 || line[:7] != "HTTP/1." || line[7] < '0' || line[7] > '1' || line[8] != ' ' ||
 		len(line) > 12 && line[12] != ' ' && line[12] != '\r' {
-		return 0, fmt.Errorf("first line %.40q", line)
+		return 0, fmt.Errorf("invalid status line %.40q", line)
 	}
 	code := 0
-	for _, d := range []byte(line[9:12]) {
-		if d < '0' || d > '9' {
-			return 0, fmt.Errorf("first line %.40q", line)
+	for _, digit := range []byte(line[9:12]) {
+		if digit < '0' || digit > '9' {
+			return 0, fmt.Errorf("invalid status line %.40q", line)
 		}
-		code = code*10 + int(d-'0')
+		code = code*10 + int(digit-'0')
 	}
 	if code < 100 {
-		return 0, fmt.Errorf("first line %.40q", line)
+		return 0, fmt.Errorf("invalid status line %.40q", line)
 	}
 	return code, nil
 }
 
-// skipHead reads past the head of an answer that is not the last one.
-func skipHead(in *bufio.Reader) error {
+// skipHeader reads past the header of an interim response.
+func skipHeader(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadSlice('\n')
 		if err != nil {
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -14,48 +14,47 @@
 	"troutusher/decide"
 )
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Guards what is believed of an answer. A spoilt one is that of a call that
-// may have run, whatever its first line says, unless that says 200; and no
-// answer is read for longer than it may be or take.
-func TestSpoiltAnswers(t *testing.T) {
+// Guards the handling of malformed responses. The call may have run, whatever the status line says, unless it says
+// 200, which means delivered. No response is read beyond its size limit or its timeouts.
+func TestMalformedResponses(t *testing.T) {
 	long := strings.Repeat("x", 8000)
 	for name, x := range map[string]struct {
 		answer  string
-		goes    bool // the endpoint goes on sending
+		goes    bool // the endpoint sends without end after the response
 		what    decide.Outcome
 		settled bool
 		keeps   bool
 	}{
-		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Errored},
-		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Errored},
-		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Errored},
-		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Errored},
-		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Errored},
-		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Errored},
-		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Errored},
-		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Errored},
-		"noise":                         {answer: "\x00\xff\x13noise\x00", what: decide.Errored},
-		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Errored},
-		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Errored},
-		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Delivered, settled: true},
-		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
-		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
-		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
-		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + fine, what: decide.Delivered, settled: true, keeps: true},
-		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Errored},
-		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Errored},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Full},
-		"delivered, then a copy behind": {answer: fine + fine, what: decide.Delivered, settled: true},
+		"503 with a short body":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Errored},
+		"invalid Retry-After":                 {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
+		"410 with an incomplete header":       {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Errored},
+		"504 with two lengths":                {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Errored},
+		"503 with a length that is no number": {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Errored},
+		"503 with a negative length":          {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Errored},
+		"503 with a body of 3 GB":             {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Errored},
+		"503 with an endless header":          {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Errored},
+		"503 with a cut chunk":                {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Errored},
+		"binary data":                         {answer: "\x00\xff\x13noise\x00", what: decide.Errored},
+		"binary data before a status line":    {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Errored},
+		"endless status line":                 {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Errored},
+		"status of four digits":               {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
+		"another protocol version":            {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
+		"200 with a body of 3 GB":             {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Delivered, settled: true},
+		"200 with an incomplete header":       {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
+		"200 with binary data as header":      {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
+		"200 with a negative length":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
+		"several interim responses":           {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: decide.Delivered, settled: true, keeps: true},
+		"too many interim responses":          {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Errored},
+		"incomplete interim response":         {answer: "HTTP/1.1 103 E\r\n", what: decide.Errored},
+		"503, then a second copy":             {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Full},
+		"200, then a second copy":             {answer: okResponse + okResponse, what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			closed := make(chan int, 1)
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
 				if !readCall(in) {
 					return
@@ -69,93 +68,91 @@
 						return
 					}
 				}
-				io.Copy(io.Discard, in) // the connection stays open from this side
+				io.Copy(io.Discard, in) // the endpoint keeps the connection open
 				closed <- n
 			}))
-			o := newTestCall().made(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
-			if o.what != x.what || o.settled != x.settled {
-				t.Errorf("got %+v", o)
+			o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
+			if o.outcome != x.what || o.settled != x.settled {
+				t.Errorf("result: got %+v, want that of the case", o)
 			}
-			if o.took > (testLimit / 2).Microseconds() {
-				t.Errorf("took %d us: it waited for what does not come", o.took)
+			if o.elapsed > (testLimit / 2).Microseconds() {
+				t.Errorf("elapsed time: got %d us, want no wait for data that does not come", o.elapsed)
 			}
 			if _, idle := h.pool.counts(); (idle != 0) != x.keeps {
-				t.Errorf("%d connections kept", idle)
+				t.Errorf("idle connections after the call: got %d, which is not what the case wants", idle)
 			}
 			h.closeIdle()
 			if n := <-closed; n > 64<<20 {
-				t.Errorf("%d bytes were sent before the close", n)
+				t.Errorf("bytes that the endpoint sent before the relay closed the connection: got %d, want at most 64 MB", n)
 			}
 		})
 	}
 }
 
-// Guards the moment at which a delivery is known: with its first line.
-func TestDeliveredAtFirstLine(t *testing.T) {
+// Guards the time at which a delivery is reported: as soon as the status line has arrived.
+func TestDeliveredAtStatusLine(t *testing.T) {
 	release := make(chan struct{})
-	h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			<-release
 		}
 	}))
-	told, over := make(chan outcome, 1), make(chan struct{})
+	told, over := make(chan callResult, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().run(h, testPart("m"), nil, func(_ *message, o outcome) { told <- o })
+		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { told <- o })
 	}()
-	if o := <-told; o.what != decide.Delivered {
-		t.Errorf("got %+v", o)
+	if o := <-told; o.outcome != decide.Delivered {
+		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
 	select {
 	case <-over:
-		t.Error("the rest was not waited for at all")
+		t.Error("the call did not wait for the rest of the response")
 	default:
 	}
 	<-over
 	close(release)
 }
 
-// Guards an answer that is long in coming behind one that is ahead of it: only
-// what has begun must come quickly.
-func TestHintLongBeforeTheAnswer(t *testing.T) {
+// Guards a final response that arrives long after an interim one: the stall timeout applies only to a response that
+// has begun.
+func TestInterimResponseLongBeforeFinal(t *testing.T) {
 	release := make(chan struct{})
-	h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 102 P\r\n\r\n")
 			<-release
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}))
-	told, over := make(chan outcome, 1), make(chan struct{})
+	told, over := make(chan callResult, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().run(h, testPart("m"), nil, func(_ *message, o outcome) { told <- o })
+		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { told <- o })
 	}()
 	select {
 	case o := <-told:
-		t.Fatalf("before the answer: %+v", o)
-	case <-time.After(2 * answerWait):
+		t.Fatalf("result before the final response: got %+v, want none", o)
+	case <-time.After(2 * responseStallTimeout):
 	}
 	close(release)
-	if o := <-told; o.what != decide.Delivered {
-		t.Errorf("got %+v", o)
+	if o := <-told; o.outcome != decide.Delivered {
+		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
 	<-over
 }
 
-// Guards each answer against what came behind the one before: a second copy
-// or noise must not pass for the next call's answer, whether it is there when
-// the connection is put back, while it is idle, or only when the call is
-// written but for its last byte. Nothing of the call counts then, so that it
-// goes out on another connection, once.
-func TestBytesBehindAnAnswer(t *testing.T) {
-	for name, behind := range map[string]string{"copy": fine, "noise": "\x00\x01\x02", "end": ""} {
+// Guards against surplus bytes after a response: a second copy or binary data must not be taken for the response to
+// the next call, whether they arrive before the connection is put back, while it is idle, or only when all of the
+// next call but its last byte is written. The call has not run then, and is sent once, on another connection.
+func TestSurplusBytesAfterResponse(t *testing.T) {
+	for name, behind := range map[string]string{"copy": okResponse, "binary data": "\x00\x01\x02", "end": ""} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
 			said := make(chan struct{}, 8)
 			more := make(chan struct{})
-			h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				first := conns.Add(1) == 1
 				in := bufio.NewReader(c)
 				for readCall(in) {
@@ -163,7 +160,7 @@
 						io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, fine)
+					io.WriteString(c, okResponse)
 					<-more
 					io.WriteString(c, behind)
 					said <- struct{}{}
@@ -172,32 +169,32 @@
 					}
 				}
 			}))
-			if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
-				t.Fatalf("first: %+v", o)
+			if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
+				t.Fatalf("first call: got %+v, want the outcome Delivered", o)
 			}
 			if _, idle := h.pool.counts(); idle != 1 {
-				t.Fatalf("%d idle connections, want 1", idle)
+				t.Fatalf("idle connections after the first call: got %d, want 1", idle)
 			}
 			close(more)
 			<-said
-			settled(h)
-			waitFor(t, "the bytes", func() bool {
+			waitReusable(h)
+			waitFor(t, "the surplus bytes", func() bool {
 				h.pool.mu.Lock()
 				defer h.pool.mu.Unlock()
-				return len(h.pool.idle) == 0 || !h.pool.idle[0].clean()
+				return len(h.pool.idle) == 0 || !h.pool.idle[0].isClean()
 			})
-			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Full {
-				t.Errorf("second: %+v", o)
+			if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Full {
+				t.Errorf("second call: got %+v, want the outcome Full", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
-				t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
+				t.Errorf("got %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
 			}
 		})
 	}
 	t.Run("while the call is written", func(t *testing.T) {
 		var conns atomic.Int32
-		got := make(chan int, 4) // bytes of the second call on the first connection
-		h := testPool(t).home(rawEndpoint(t, func(c net.Conn) {
+		got := make(chan int, 4) // how often the whole second call arrived on the first connection
+		h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 			first := conns.Add(1) == 1
 			in := bufio.NewReader(c)
 			for n := 0; readCall(in); n++ {
@@ -205,190 +202,188 @@
 					io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 					continue
 				}
-				io.WriteString(c, fine)
+				io.WriteString(c, okResponse)
 				rest, _ := io.ReadAll(in)
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
-			t.Fatalf("first: %+v", o)
+		if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
+			t.Fatalf("first call: got %+v, want the outcome Delivered", o)
 		}
-		settled(h)
+		waitReusable(h)
 		h.pool.mu.Lock()
 		c := h.pool.idle[0]
-		c.Conn = &racing{TCPConn: c.Conn.(*net.TCPConn)}
+		c.Conn = &eofOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().made(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.what != decide.Full {
-			t.Errorf("second: %+v", o)
+		if o := newTestCall().runForResult(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.outcome != decide.Full {
+			t.Errorf("second call: got %+v, want the outcome Full", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
-			t.Errorf("the call went out whole on the first connection (%d), %d connections", n, conns.Load())
+			t.Errorf("second call: got %d times on the first connection, want 0; got %d connections, want 2", n, conns.Load())
 		}
 	})
 }
 
-// racing brings bytes just as a call begins to be written.
-type racing struct {
+// eofOnWriteConn receives an end of file as soon as the first part of a call is written.
+type eofOnWriteConn struct {
 	*net.TCPConn
 	begun bool
 }
 
-func (r *racing) Write(b []byte) (int, error) {
+func (r *eofOnWriteConn) Write(b []byte) (int, error) {
 	n, err := r.TCPConn.Write(b)
 	if !r.begun {
 		r.begun = true
-		r.TCPConn.CloseRead() // an end is as good as a byte: something is there to be read
+		r.TCPConn.CloseRead() // an end of file is detected like surplus bytes
 	}
 	return n, err
 }
 
-// Guards unsafe messages against kept connections that their endpoint has
-// dropped in silence: the reset comes before the last byte, so the call goes
-// out on another connection and counts once.
-func TestDroppedInSilence(t *testing.T) {
+// Guards unsafe messages against kept connections that their endpoint has dropped without notice: the reset arrives
+// before the last byte of the call is written, so the call is sent on another connection and runs once.
+func TestConnectionDroppedWithoutNotice(t *testing.T) {
 	var conns, calls atomic.Int32
 	p := testPool(t)
-	h := p.home(rawEndpoint(t, func(c net.Conn) {
+	h := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
 		in := bufio.NewReader(c)
 		if !readCall(in) {
 			return
 		}
 		calls.Add(1)
-		io.WriteString(c, fine)
+		io.WriteString(c, okResponse)
 		if first {
-			in.ReadByte() // of the next call
+			in.ReadByte() // the first byte of the next call
 			c.(*net.TCPConn).SetLinger(0)
 		}
 	}))
-	p.moment = time.Millisecond
-	if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
-		t.Fatalf("first: %+v", o)
+	p.lastByteDelay = time.Millisecond
+	if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
+		t.Fatalf("first call: got %+v, want the outcome Delivered", o)
 	}
-	settled(h)
+	waitReusable(h)
 	dial := h.dial
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		p.moment = time.Millisecond
+		p.lastByteDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
-	p.moment = testLimit // the reset ends it
-	if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Delivered {
-		t.Errorf("second: %+v", o)
+	p.lastByteDelay = testLimit // the reset ends the delay
+	if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Delivered {
+		t.Errorf("second call: got %+v, want the outcome Delivered", o)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
-		t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
+		t.Errorf("got %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
 	}
 }
 
-// Guards what never ran: a connection that breaks before the call's last byte
-// is written.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
-	h := testPool(t).home(rawEndpoint(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+// Guards the outcome of a call whose connections all break before its last byte is written: it has not run.
+func TestConnectionBreaksBeforeLastByte(t *testing.T) {
+	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	dial := h.dial
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := dial(ctx, addr)
-		return &breaking{TCPConn: c.(*net.TCPConn)}, err
+		return &brokenWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().made(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.what != decide.NoConnect {
-		t.Errorf("got %+v", o)
+	if o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.outcome != decide.NoConnect {
+		t.Errorf("result: got %+v, want the outcome NoConnect", o)
 	}
 }
 
-type breaking struct {
+// brokenWriteConn fails its second write.
+type brokenWriteConn struct {
 	*net.TCPConn
 	writes int
 }
 
-func (b *breaking) Write(p []byte) (int, error) {
+func (b *brokenWriteConn) Write(p []byte) (int, error) {
 	if b.writes++; b.writes == 2 {
-		return 0, errors.New("broken")
+		return 0, errors.New("injected write error")
 	}
 	return b.TCPConn.Write(p)
 }
 
-// Guards the descriptors: the number open is bounded over all endpoints, and
-// what is idle makes room for what is wanted. A dial that is given up frees
-// its place.
+// Guards the limit of file descriptors: the number of open connections is bounded over all endpoints, and an idle
+// connection is closed when another endpoint needs one. A dial that fails or is cancelled does not count as open.
 func TestPoolBounded(t *testing.T) {
 	serve := func(c net.Conn) {
 		for in := bufio.NewReader(c); readCall(in); {
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}
 	p := testPool(t)
-	p.most = 3
+	p.maxOpen = 3
 	for i := range 10 {
-		if o := newTestCall().made(t, p.home(rawEndpoint(t, serve)), &record{ID: "m"}, testLimit); o.what != decide.Delivered {
-			t.Fatalf("endpoint %d: %+v", i, o)
+		if o := newTestCall().runForResult(t, p.forHost(rawEndpoint(t, serve)), &record{ID: "m"}, testLimit); o.outcome != decide.Delivered {
+			t.Fatalf("call to endpoint %d: got %+v, want the outcome Delivered", i, o)
 		}
 		if open, _ := p.counts(); open > 3 {
-			t.Fatalf("%d connections open, 3 allowed", open)
+			t.Fatalf("open connections: got %d, want at most 3", open)
 		}
 	}
 	entered := make(chan struct{}, 3)
-	stuck := p.home(rawEndpoint(t, func(c net.Conn) {
+	stuck := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
 		entered <- struct{}{}
 		in.ReadByte()
 	}))
 	var calls []*call
-	over := make(chan outcome, 3)
+	over := make(chan callResult, 3)
 	for range 3 {
 		c := newTestCall()
 		calls = append(calls, c)
-		go func() { c.run(stuck, testPart("m"), nil, func(_ *message, o outcome) { over <- o }) }()
+		go func() { c.run(stuck, testItems("m"), nil, func(_ *message, o callResult) { over <- o }) }()
 		<-entered
 	}
-	if o := newTestCall().made(t, stuck, &record{ID: "m"}, testLimit); o.what != decide.NotSent {
-		t.Errorf("a fourth: %+v", o)
+	if o := newTestCall().runForResult(t, stuck, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
+		t.Errorf("fourth call with a limit of 3: got %+v, want the outcome NotSent", o)
 	}
 	for _, c := range calls {
-		c.stop(errCancelled)
+		c.cancel(errCancelled)
 		<-over
 	}
-	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
-	refused := p.home("127.0.0.1:1")
-	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
-		t.Errorf("refused: %+v", o)
+	waitFor(t, "the connections to close", func() bool { open, _ := p.counts(); return open == 0 })
+	refused := p.forHost("127.0.0.1:1")
+	if o := newTestCall().runForResult(t, refused, &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect {
+		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
 	}
 	if open, _ := p.counts(); open != 0 {
-		t.Errorf("%d open after a refused dial", open)
+		t.Errorf("open connections after a refused dial: got %d, want 0", open)
 	}
 }
 
-// Guards against what an endpoint closed or wrote to while it was idle: it
-// must not hold a descriptor until its next use.
+// Guards against idle connections that the endpoint has closed or written to: they must not hold a file descriptor
+// until their next use.
 func TestPoolSweeps(t *testing.T) {
 	end := make(chan struct{})
 	p := testPool(t)
-	h := p.home(rawEndpoint(t, func(c net.Conn) {
+	h := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 			<-end
 		}
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.run(ctx) }()
-	newTestCall().made(t, h, &record{ID: "m"}, testLimit)
+	newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit)
 	if _, idle := p.counts(); idle != 1 {
-		t.Fatalf("%d idle", idle)
+		t.Fatalf("idle connections after the call: got %d, want 1", idle)
 	}
 	close(end)
 	waitFor(t, "the sweep", func() bool { open, _ := p.counts(); return open == 0 })
 	cancel()
 	<-done
-	// And one whose endpoint has left is not kept after its call.
-	gone := p.home(rawEndpoint(t, func(c net.Conn) {
+	// A connection to an endpoint that was removed is closed after its call.
+	gone := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 			time.Sleep(time.Millisecond)
 		}
 	}))
 	gone.close()
-	newTestCall().made(t, gone, &record{ID: "m"}, testLimit)
+	newTestCall().runForResult(t, gone, &record{ID: "m"}, testLimit)
 	if open, _ := p.counts(); open != 0 {
-		t.Errorf("%d open at an endpoint that left", open)
+		t.Errorf("open connections to a removed endpoint: got %d, want 0", open)
 	}
 }
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -62,7 +62,7 @@
 	}
 	clients, endpoints := r.budget()
 	r.clients.retune(cfg, clients)
-	r.pool.tune(&cfg.Policy, endpoints)
+	r.pool.configure(&cfg.Policy, endpoints)
 	r.log.Info("new configuration taken over", "classes", len(cfg.Policy.Classes), "attempts", cfg.Policy.MaxAttempts,
 		"settings_changed", !reflect.DeepEqual(cfg.Policy, old.Policy))
 	if cfg.Discovery == r.agent {
@@ -70,8 +70,8 @@
 	}
 	r.log.Info("new configuration: discovery moves", "from", r.agent, "to", cfg.Discovery)
 	r.agent = cfg.Discovery
-	r.discovery.moves.put(r.agent)
-	r.notices.moves.put(r.agent)
+	r.discovery.addresses.put(r.agent)
+	r.notices.addresses.put(r.agent)
 }
 
 // replaces tells why a configuration cannot take the place of a running one:
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -65,7 +65,7 @@
 		e.then(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.notice("stuck"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.notice("stuck"); return ok && n.Outcome == noticeGivenUp })
 	waitFor(t, "the others", func() bool { return full.count("full") >= 2 && keyed.count("keyed") == 2 })
 	if n := stuck.count("stuck"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
@@ -101,7 +101,7 @@
 	disc.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
-		waitFor(t, "notice of "+id, func() bool { n, ok := disc.notice(id); return ok && n.Outcome == endHandedBack })
+		waitFor(t, "notice of "+id, func() bool { n, ok := disc.notice(id); return ok && n.Outcome == noticeHandedBack })
 	}
 	waitFor(t, "ends in the log", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walName))
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -114,7 +114,7 @@
 	}
 	startChild(t, env)
 	waitFor(t, "the one that never ran", func() bool { return shut.count("held") >= 3 })
-	waitFor(t, "notice of the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "notice of the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
 	if n := ep.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
--- a/internal/relay/syserrors.go
+++ b/internal/relay/syserrors.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// What the errors of system calls tell about: this machine, a peer, or nothing
-// but a moment.
+// The functions in this file classify the errors of system calls by their cause: this machine, the peer, or a
+// condition that is over within milliseconds.
 
 const (
-	transientFirst = time.Millisecond      // pause before a read or write is repeated; doubles
-	transientMost  = 64 * time.Millisecond // the longest pause: the last one before the error counts
+	minIORetryDelay = time.Millisecond      // before a failed read or write is retried; doubles
+	maxIORetryDelay = 64 * time.Millisecond // if the retry after this delay fails, the error is returned
 )
 
 func errnoOf(err error) (syscall.Errno, bool) {
@@ -21,8 +21,8 @@
 	return errno, ok
 }
 
-// isTransient reports whether a read or write on an open connection failed for
-// want of memory or by a signal: the connection itself is sound.
+// isTransient reports whether a read or write on an open connection failed for lack of memory or because of a signal.
+// The connection itself is intact.
 func isTransient(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
@@ -35,9 +35,9 @@
 	return false
 }
 
-// isExhausted reports whether a system call failed because this process or
-// machine ran out of something for now.
-func isExhausted(err error) bool {
+// isResourceExhausted reports whether a system call failed because this process or machine ran out of a resource for
+// now.
+func isResourceExhausted(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
 		return false
@@ -49,10 +49,10 @@
 	return false
 }
 
-// isLocal reports whether a connection could not be made for a reason on this
-// machine. Nothing has left it then, and its peer had no part in it.
-func isLocal(err error) bool {
-	if isExhausted(err) {
+// isLocalFailure reports whether a connection could not be made for a reason on this machine. Nothing was sent then,
+// and the peer did not cause the failure.
+func isLocalFailure(err error) bool {
+	if isResourceExhausted(err) {
 		return true
 	}
 	errno, ok := errnoOf(err)
@@ -67,8 +67,8 @@
 	return false
 }
 
-// isBroken reports whether a connection that was up has ended without a word.
-func isBroken(err error) bool {
+// isBrokenConn reports whether an established connection broke without an orderly close.
+func isBrokenConn(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
 		return false
@@ -81,37 +81,36 @@
 	return false
 }
 
-// isOfOneConnection reports whether accept failed for the sake of the one
-// connection that it took from the queue: Linux passes on what is wrong with
-// that one, and the next may be sound.
-func isOfOneConnection(err error) bool {
+// isSingleConnFailure reports whether accept failed because of the one connection that it took from the queue: Linux
+// returns the pending network error of that connection, and the next connection may be intact.
+func isSingleConnFailure(err error) bool {
 	errno, ok := errnoOf(err)
 	if !ok {
 		return false
 	}
 	switch errno {
 	case syscall.ECONNABORTED, syscall.EPROTO, syscall.EINTR, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
-		syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT:
+		syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
+		syscall.ETIMEDOUT:
 		return true
 	}
 	return false
 }
 
-// readOnce reads like conn.Read, and again after an error that is over in a moment.
-func readOnce(conn net.Conn, b []byte) (int, error) {
+// readWithRetry reads like conn.Read and retries after transient errors.
+func readWithRetry(conn net.Conn, b []byte) (int, error) {
 	n, err := conn.Read(b)
-	for pause := transientFirst; n == 0 && err != nil && pause <= transientMost && isTransient(err); pause *= 2 {
-		time.Sleep(pause)
+	for delay := minIORetryDelay; n == 0 && err != nil && delay <= maxIORetryDelay && isTransient(err); delay *= 2 {
+		time.Sleep(delay)
 		n, err = conn.Read(b)
 	}
 	return n, err
 }
 
-// writeAll writes b to its end. It goes on where a write fell short, and tries
-// again after an error that is over in a moment. It returns how many bytes the
-// system has taken; an error means that these are not all.
+// writeAll writes all of b. It continues after short writes and retries after transient errors. It returns the number
+// of bytes that the kernel has accepted; an error means that this is less than all of b.
 func writeAll(conn net.Conn, b []byte) (int, error) {
-	written, pause := 0, transientFirst
+	written, delay := 0, minIORetryDelay
 	for {
 		n, err := conn.Write(b[written:])
 		written += n
@@ -119,12 +118,12 @@
 		case written == len(b):
 			return written, nil
 		case n > 0 && err == nil:
-			pause = transientFirst
-		case pause <= transientMost && isTransient(err):
-			time.Sleep(pause)
-			pause *= 2
+			delay = minIORetryDelay
+		case delay <= maxIORetryDelay && isTransient(err):
+			time.Sleep(delay)
+			delay *= 2
 		case err == nil:
-			return written, errors.New("write took nothing")
+			return written, errors.New("write accepted no bytes")
 		default:
 			return written, err
 		}
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -35,7 +35,7 @@
 	addr, ids := batchTaker(t)
 	for _, atLastByte := range []bool{false, true} {
 		for _, alone := range []bool{false, true} {
-			h := testPool(t).home(addr)
+			h := testPool(t).forHost(addr)
 			by := clock.System().Now().Add(50 * time.Millisecond)
 			pass := func() { time.Sleep(clock.Until(clock.System(), by) + time.Millisecond) }
 			dials := 0
@@ -51,12 +51,12 @@
 				return &hookedConn{conn.(*net.TCPConn), pass}, nil
 			}
 			late := &message{num: 1}
-			parts := []part{{m: late, rec: &record{ID: "late"}, limit: testLimit, by: by}}
+			parts := []callItem{{message: late, rec: &record{ID: "late"}, timeout: testLimit, repeatUntil: by}}
 			if !alone {
-				parts = append(parts, part{m: &message{num: 2}, rec: &record{ID: "a"}, limit: testLimit})
+				parts = append(parts, callItem{message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit})
 			}
-			of, whole := make(chan outcome, 4), make(chan outcome, 4)
-			newTestCall().run(h, parts, nil, func(m *message, o outcome) {
+			of, whole := make(chan callResult, 4), make(chan callResult, 4)
+			newTestCall().run(h, parts, nil, func(m *message, o callResult) {
 				if m == late {
 					of <- o
 				} else {
@@ -65,13 +65,13 @@
 			})
 			o := <-whole
 			switch {
-			case alone && (o.what != decide.NotSent || len(ids) > 0):
+			case alone && (o.outcome != decide.NotSent || len(ids) > 0):
 				t.Errorf("at the last byte %v, alone: %+v", atLastByte, o)
 			case !alone:
-				if got := <-ids; o.what != decide.Delivered || !slices.Equal(got, []string{"a"}) {
+				if got := <-ids; o.outcome != decide.Delivered || !slices.Equal(got, []string{"a"}) {
 					t.Errorf("at the last byte %v: %v, %+v", atLastByte, got, o)
 				}
-				if x := <-of; x.what != decide.NotSent {
+				if x := <-of; x.outcome != decide.NotSent {
 					t.Errorf("at the last byte %v, the late one: %+v", atLastByte, x)
 				}
 			}
@@ -103,7 +103,7 @@
 		}
 		startChild(t, env)
 		if over {
-			waitFor(t, "its end", func() bool { n, ok := disc.notice("m"); return ok && n.Outcome == endGivenUp })
+			waitFor(t, "its end", func() bool { n, ok := disc.notice("m"); return ok && n.Outcome == noticeGivenUp })
 			if n := ep.count("m"); n != 1 {
 				t.Errorf("called %d times, the second past its window", n)
 			}
@@ -212,7 +212,7 @@
 	for range processes {
 		env := testConfig(t, disc, 3)
 		rewrite(t, env, func(text string) string { return strings.Replace(text, `"settings"`, known, 1) })
-		cfg := testSet(t)
+		cfg := parseTestConfig(t)
 		w, _ := openTestWAL(t, env["ROUTER_STATE"], 3<<20)
 		owed = 0
 		for ; ; owed++ {
@@ -286,7 +286,7 @@
 	const limit = 512 << 10
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, limit)
-	cfg := testSet(t)
+	cfg := parseTestConfig(t)
 	take := func(id string, class int, deadline clock.Instant) {
 		t.Helper()
 		mustAppend(t, w, &record{Kind: recTaken, ID: id, Deadline: deadline, Rules: &cfg.Policy.Classes[class]})
@@ -305,7 +305,7 @@
 		id := fmt.Sprintf("m%04d", i)
 		take(id, once, soon)
 		if i%2 == 1 {
-			mustAppend(t, w, &record{Kind: recEnding, ID: id, Notice: endGivenUp})
+			mustAppend(t, w, &record{Kind: recEnding, ID: id, Notice: noticeGivenUp})
 		}
 		mustAppend(t, w, &record{Kind: recEnd, ID: id, Ran: i%2 == 0})
 	}
@@ -319,7 +319,7 @@
 	}
 	for i, rec := range ended {
 		n := all - len(ended) + i
-		if rec.ID != fmt.Sprintf("m%04d", n) || (rec.Notice == endGivenUp) != (n%2 == 1) {
+		if rec.ID != fmt.Sprintf("m%04d", n) || (rec.Notice == noticeGivenUp) != (n%2 == 1) {
 			t.Fatalf("%d of %d: %+v", i, len(ended), rec)
 		}
 	}
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -122,7 +122,7 @@
 			mustAppend(t, w, &record{Kind: recEnd, ID: "done", Ran: true}, &record{Kind: recOutcome, ID: "unsafe"},
 				&record{Kind: recAttempt, ID: "safe", At: 30}, &record{Kind: recOutcome, ID: "safe", Ran: true})
 			told := false
-			w.perform(walOp{rec: &record{Kind: recEnding, ID: "ended", Notice: endHandedBack, RetryMS: 7}, then: func(error) { told = true }})
+			w.perform(walOp{rec: &record{Kind: recEnding, ID: "ended", Notice: noticeHandedBack, RetryMS: 7}, then: func(error) { told = true }})
 			if told {
 				t.Error("an end was told that a kill undoes")
 			}
@@ -148,7 +148,7 @@
 			if r := found["safe"]; r.Tries != 1 || r.Doubt != 30 {
 				t.Errorf("safe: %+v", r)
 			}
-			if r := found["ended"]; r.Notice != endHandedBack || r.RetryMS != 7 {
+			if r := found["ended"]; r.Notice != noticeHandedBack || r.RetryMS != 7 {
 				t.Errorf("ended: %+v", r)
 			}
 			if err := w.append(classed("new", decide.Safe), false); err != nil {
@@ -207,7 +207,7 @@
 	told := make(chan error, 2)
 	w.start()
 	defer w.halt()
-	w.submit(&record{Kind: recEnding, ID: "m", Notice: endHandedBack}, func(err error) { told <- err })
+	w.submit(&record{Kind: recEnding, ID: "m", Notice: noticeHandedBack}, func(err error) { told <- err })
 	<-told
 	if clock.System().Now() < m.Deadline {
 		t.Error("told before its time")
@@ -215,7 +215,7 @@
 	folder.heal()
 	waitFor(t, "the log", func() bool {
 		text, _ := os.ReadFile(w.path)
-		return strings.Contains(string(text), endHandedBack)
+		return strings.Contains(string(text), noticeHandedBack)
 	})
 	if len(told) > 0 {
 		t.Error("told twice")
@@ -312,7 +312,7 @@
 		classed("b", decide.Unsafe),
 		{Kind: recAttempt, ID: "a", At: 30, ZoneName: "f"},
 		{Kind: recOutcome, ID: "a", Ran: true},
-		{Kind: recEnding, ID: "a", Notice: endHandedBack, RetryMS: 7},
+		{Kind: recEnding, ID: "a", Notice: noticeHandedBack, RetryMS: 7},
 		{Kind: recEnd, ID: "a", Ran: true},
 	} {
 		t.Run(string(last.Kind), func(t *testing.T) {
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -438,9 +438,9 @@
 
 // finish gives the final answer of a message that was not delivered.
 func (r *modelRelay) finish(m *heldMessage) {
-	m.notice = endGivenUp
+	m.notice = noticeGivenUp
 	if m.doubt == 0 || m.repeat == decide.Safe || m.repeat == decide.Keyed && r.now < m.doubt+modelWindow {
-		m.notice = endHandedBack
+		m.notice = noticeHandedBack
 	}
 	if r.breaks == breaksForgetEnding && !r.killed {
 		r.tell(m)
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -58,14 +58,14 @@
 		&record{Kind: recAttempt, ID: "b", At: 300, Zone: 0},
 		&record{Kind: recAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
 		&record{Kind: recEnd, ID: "d"},
-		&record{Kind: recEnding, ID: "e", Notice: endHandedBack, RetryMS: 20})
+		&record{Kind: recEnding, ID: "e", Notice: noticeHandedBack, RetryMS: 20})
 	for range 2 {
 		_, owed := openTestWAL(t, dir, 1<<20)
 		var got []string
 		for _, r := range owed {
 			got = append(got, r.ID+" "+string(r.body)+" "+strconv.Itoa(r.Tries)+" "+strconv.FormatInt(int64(r.Doubt), 10)+" "+r.Notice)
 		}
-		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + endHandedBack}
+		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + noticeHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %q", got)
 		}
@@ -173,7 +173,7 @@
 // when the message is taken on.
 func TestRecordRoom(t *testing.T) {
 	r := taken("9b1f03aa5c7e2d41", "body")
-	r.Tries, r.Doubt, r.DoubtIn, r.Out, r.OutIn, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, endHandedBack, 2000
+	r.Tries, r.Doubt, r.DoubtIn, r.Out, r.OutIn, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, noticeHandedBack, 2000
 	r.DoubtZone, r.OutZone = strings.Repeat("f", zoneNameMost), strings.Repeat("f", zoneNameMost)
 	text, err := r.encode(nil)
 	if err != nil || int64(len(text)) > recordRoom(r) {
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -86,7 +86,7 @@
 		l.rec.Deadline = c.Latest(l.rec.Deadline)
 	}
 	for _, l := range w.out {
-		moved := moved(*l.rec.Outage, func(t decide.Time) decide.Time { return decide.Time(c.Instant(clock.Instant(t))) })
+		moved := convertOutageTimes(*l.rec.Outage, func(t decide.Time) decide.Time { return decide.Time(c.Instant(clock.Instant(t))) })
 		l.rec.Outage = &moved
 	}
 }
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -66,7 +66,7 @@
 // fill logs a message that is untried, one with an attempt that may have run, and one that has ended.
 func fill(t *testing.T, w *wal, clk clock.Clock) {
 	t.Helper()
-	cfg := testSet(t)
+	cfg := parseTestConfig(t)
 	take := func(id, class string) {
 		now := clk.Now()
 		mustAppend(t, w, &record{Kind: recTaken, ID: id, Class: class, Dest: 7, Deadline: now.Add(20 * time.Second), At: now,
@@ -159,7 +159,7 @@
 		return text
 	}
 	message := encoded(&record{Kind: recTaken, ID: "m", Class: "keyed", Deadline: clk.Now().Add(20 * time.Second), At: clk.Now(),
-		Out: clk.Now(), Tries: 1, Rules: &testSet(t).Policy.Classes[1]})
+		Out: clk.Now(), Tries: 1, Rules: &parseTestConfig(t).Policy.Classes[1]})
 	sound := encoded(clockRecord(clock.Read(clk)))
 	flipped := append([]byte{}, sound...)
 	flipped[len(flipped)/2] ^= 4
@@ -278,7 +278,7 @@
 				if r := owed["once-refused"]; r.WindowUnknown || r.Doubt != 0 || r.Tries != 1 {
 					t.Errorf("%+v", r)
 				}
-				if r := owed["handed-back"]; r.Notice != endHandedBack || r.RetryMS != 250 {
+				if r := owed["handed-back"]; r.Notice != noticeHandedBack || r.RetryMS != 250 {
 					t.Errorf("%+v", r)
 				}
 			}
@@ -299,7 +299,7 @@
 		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
 			t.Errorf("unknown %v: the policy takes the window for open: %v", unknown, open)
 		}
-		if late := (part{by: m.repeatBy()}).late(now); late == want {
+		if late := (callItem{repeatUntil: m.repeatBy()}).repeatExpired(now); late == want {
 			t.Errorf("unknown %v: a call takes the window for closed: %v", unknown, late)
 		}
 		m.over = true
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -30,7 +30,7 @@
 }
 
 func (p *pauses) Handle(_ context.Context, r slog.Record) error {
-	if r.Message != "discovery: watch over" {
+	if r.Message != "discovery: watch ended" {
 		return nil
 	}
 	var l pauseLine
@@ -86,8 +86,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	log := &pauses{Handler: slog.NewTextHandler(io.Discard, nil)}
 	news, done := make(chan *List, 64), make(chan struct{})
-	d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log), collect(func(l *List) { news <- l }))
-	d.grace, d.silence = 100*time.Millisecond, 400*time.Millisecond
+	d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log), collectLists(func(l *List) { news <- l }))
+	d.reopenGrace, d.silenceTimeout = 100*time.Millisecond, 400*time.Millisecond
 	t.Cleanup(func() { cancel(); <-done })
 	go func() { defer close(done); d.run(ctx) }()
 	return d, news, log
@@ -132,7 +132,7 @@
 			return
 		}
 		for range 8 { // for longer than an answer takes
-			time.Sleep(discAnswer / 7)
+			time.Sleep(minResponseWait / 7)
 			io.WriteString(c, chunk("\n"))
 		}
 		c.Close()
@@ -176,17 +176,17 @@
 func TestRefusedTriesFitIntoTheTime(t *testing.T) {
 	d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil)
 	for _, left := range []time.Duration{5 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
-		d.due = d.clock.Now().Add(left)
-		if got := d.rest(6, 0.999); got >= left {
+		d.knownBy = d.clock.Now().Add(left)
+		if got := d.refusalDelay(6, 0.999); got >= left {
 			t.Errorf("%v before word counts: a pause of %v", left, got)
 		}
-		if got := d.wait(0, 0); got > max(left/2, discAnswer) {
+		if got := d.nextRequestDelay(0, 0); got > max(left/2, minResponseWait) {
 			t.Errorf("%v before word counts: an answer is waited for for %v", left, got)
 		}
 	}
-	d.due = d.clock.Now().Add(-time.Second)
-	if d.rest(6, 0.5) != d.pause(6, 0.5) || d.wait(0, 0) != discAnswer {
-		t.Errorf("afterwards: %v and %v", d.rest(6, 0.5), d.wait(0, 0))
+	d.knownBy = d.clock.Now().Add(-time.Second)
+	if d.refusalDelay(6, 0.5) != d.backoffDelay(6, 0.5) || d.nextRequestDelay(0, 0) != minResponseWait {
+		t.Errorf("afterwards: %v and %v", d.refusalDelay(6, 0.5), d.nextRequestDelay(0, 0))
 	}
 }
 
@@ -226,7 +226,7 @@
 	old := scripted(t, func(_ int, c net.Conn, _ *http.Request) { asked <- struct{}{}; untilClosed(c) })
 	d, news, _ := fleetDiscovery(t, old, 300)
 	<-asked
-	d.moves.put(newFakeDiscovery(t, Member{ID: "s-9", HostPort: "127.0.0.1:1", Phase: phaseUp}).addr())
+	d.addresses.put(newFakeDiscovery(t, Member{ID: "s-9", HostPort: "127.0.0.1:1", Phase: phaseUp}).addr())
 	if l := next(t, news); !l.Complete || l.Members[0].ID != "s-9" || len(asked) > 0 {
 		t.Errorf("heard %+v, with %d more requests to the old address", l, len(asked))
 	}
