--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -32,39 +32,39 @@
 	if err := json.Unmarshal(body, &items); err != nil {
 		t.Errorf("decoding a batch: error %v, body %s", err, body)
 	}
-	for _, x := range items {
-		ids, bodies = append(ids, x.ID), append(bodies, x.Body)
+	for _, item := range items {
+		ids, bodies = append(ids, item.ID), append(bodies, item.Body)
 	}
 	return ids, bodies
 }
 
 // putWhileBusy puts messages while the call of an earlier one fills the destination's window of one call. It ends
 // that call once all messages are accepted.
-func putWhileBusy(t *testing.T, answer http.HandlerFunc, class string, ids ...string) (*fakeDiscovery, *fakeEndpoint) {
+func putWhileBusy(t *testing.T, respond http.HandlerFunc, class string, ids ...string) (*fakeDiscovery, *fakeEndpoint) {
 	t.Helper()
-	entered, release := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	ep := newFakeEndpoint(t, nil)
 	ep.then(func(w http.ResponseWriter, r *http.Request, n int) {
 		if n > 1 {
-			answer(w, r)
+			respond(w, r)
 			return
 		}
-		close(entered)
+		close(received)
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	})
 	disc := newFakeDiscovery(t, ep.batchMember("s-1", 7))
-	c := startChild(t, testConfig(t, disc, 3))
-	client := dialClient(t, c.env["ROUTER_LISTEN"])
-	if s := client.put("first", fields(class, 20000, 7), nil); s != "+OK" {
-		t.Fatal(s)
+	child := startChild(t, testConfig(t, disc, 3))
+	client := dialClient(t, child.env["ROUTER_LISTEN"])
+	if reply := client.put("first", fields(class, 20000, 7), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
-	<-entered
+	<-received
 	for _, id := range ids {
-		if s := client.put(id, fields(class, 20000, 7), []byte("body of "+id)); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+		if reply := client.put(id, fields(class, 20000, 7), []byte("body of "+id)); reply != "+OK" {
+			t.Fatalf("reply to PUT of message %s: got %s, want +OK", id, reply)
 		}
 	}
 	close(release)
@@ -123,10 +123,10 @@
 	const ok, empty = "HTTP/1.1 200 OK\r\n", "Content-Length: 0\r\n\r\n"
 	both := func(a, b itemResult) map[string]itemResult { return map[string]itemResult{"a": a, "b": b} }
 	for name, x := range map[string]struct {
-		head, body string
-		what       decide.Outcome
-		ends       map[string]itemResult
-		wait       decide.Time
+		head, body  string
+		outcome     decide.Outcome
+		itemResults map[string]itemResult
+		retryAfter  decide.Time
 	}{
 		"different states": {ok, `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`, decide.Errored,
 			both(itemResult{decide.Delivered, true}, itemResult{decide.Full, false}), 0},
@@ -157,15 +157,15 @@
 					io.WriteString(c, text)
 				}
 			}))
-			told := make(chan callResult, 4)
-			newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { told <- o })
-			o := <-told
-			if o.outcome != x.what || o.retryAfter != x.wait || o.settled || len(o.itemResults) != len(x.ends) || len(told) != 0 {
+			results := make(chan callResult, 4)
+			newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { results <- o })
+			o := <-results
+			if o.outcome != x.outcome || o.retryAfter != x.retryAfter || o.settled || len(o.itemResults) != len(x.itemResults) || len(results) != 0 {
 				t.Errorf("result: got %+v, want that of the case, once", o)
 			}
-			for id, end := range x.ends {
-				if o.itemResults[id] != end {
-					t.Errorf("result of message %s: got %+v, want %+v", id, o.itemResults[id], end)
+			for id, want := range x.itemResults {
+				if o.itemResults[id] != want {
+					t.Errorf("result of message %s: got %+v, want %+v", id, o.itemResults[id], want)
 				}
 			}
 		})
@@ -175,7 +175,7 @@
 // Guards the messages of a call against each other: if one of them times out or is cancelled, the call goes on for
 // the others. It is cancelled with its last message.
 func TestBatchEndsWithItsLastMessage(t *testing.T) {
-	entered, gone := make(chan []byte, 1), make(chan struct{}, 1)
+	received, closed := make(chan []byte, 1), make(chan struct{}, 1)
 	addr := rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		req, err := http.ReadRequest(in)
@@ -183,22 +183,22 @@
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		entered <- body
+		received <- body
 		in.ReadByte() // until the relay closes the connection
-		gone <- struct{}{}
+		closed <- struct{}{}
 	})
 	r := testRelay(t)
 	r.ctx = t.Context()
 	r.wal = &wal{in: newMailbox[walOp]()}
-	logAll := func() {
+	confirmRecords := func() {
 		for _, op := range r.wal.in.takeAll(nil) {
 			if op.then != nil {
 				op.then(nil)
 			}
 		}
 	}
-	x := Member{ID: "s-1", HostPort: addr, Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}
-	r.told(t, &List{Complete: true, Members: []Member{x}})
+	member := Member{ID: "s-1", HostPort: addr, Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}
+	r.told(t, &List{Complete: true, Members: []Member{member}})
 	r.events = nil
 	ep := r.named("s-1")
 	var msgs []*message
@@ -217,18 +217,18 @@
 	}
 	c := r.forming[0]
 	r.gathered()
-	logAll()
-	if ids, _ := decodeBatch(t, <-entered); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
+	confirmRecords()
+	if ids, _ := decodeBatch(t, <-received); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
 		t.Errorf("messages in the call: got %v, want all three, with the shortest timeout last", ids)
 	}
-	told := func() {
+	takeEvents := func() {
 		var got []event
 		waitFor(t, "an event", func() bool { got = r.in.takeAll(nil); return len(got) > 0 })
-		for _, h := range got {
-			r.take(h)
+		for _, e := range got {
+			r.take(e)
 		}
 	}
-	told()
+	takeEvents()
 	if len(r.events) != 1 || r.events[0].Message != msgs[0].num || r.events[0].Outcome != decide.TimedOut {
 		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message", r.events)
 	}
@@ -236,7 +236,7 @@
 		r.act(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
 		r.gathered()
 		r.events = nil
-		told()
+		takeEvents()
 		if len(r.events) != 1 || r.events[0].Message != m.num || r.events[0].Outcome != decide.Cancelled {
 			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID, r.events)
 		}
@@ -246,7 +246,7 @@
 		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1", r.calls)
 	}
 	cancel(msgs[2])
-	<-gone
+	<-closed
 	if r.calls != 0 || len(ep.calls) != 0 {
 		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0", r.calls, len(ep.calls))
 	}
@@ -261,22 +261,22 @@
 	r.wal = &wal{in: newMailbox[walOp]()}
 	r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}}})
 	num := r.named("s-1").num
-	var qs []*request
+	var requests []*request
 	at := r.now() + 1e9
 	for _, id := range []string{"a", "b", "c"} {
-		q := &request{rec: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
-		m := r.newMessage(q.rec)
-		r.waiting[q] = m
+		req := &request{rec: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
+		m := r.newMessage(req.rec)
+		r.waiting[req] = m
 		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
-		qs = append(qs, q)
+		requests = append(requests, req)
 	}
 	c := r.forming[0]
-	r.replyWritten(qs[0], true)
-	r.replyWritten(qs[1], true)
+	r.replyWritten(requests[0], true)
+	r.replyWritten(requests[1], true)
 	if c.cancel != nil {
 		t.Fatal("call started before the reply to each client was written")
 	}
-	r.replyWritten(qs[2], false)
+	r.replyWritten(requests[2], false)
 	if c.cancel == nil || len(c.msgs) != 2 {
 		t.Fatalf("call for the two remaining messages: not started, or got %d messages, want 2", len(c.msgs))
 	}
@@ -300,16 +300,16 @@
 		if !readCall(bufio.NewReader(c)) {
 			return
 		}
-		answer := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
-		pause := 3 * responseStallTimeout / 2 / time.Duration(len(answer))
-		for i := range len(answer) {
-			io.WriteString(c, answer[i:i+1])
+		response := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+		pause := 3 * responseStallTimeout / 2 / time.Duration(len(response))
+		for i := range len(response) {
+			io.WriteString(c, response[i:i+1])
 			time.Sleep(pause)
 		}
 	}))
-	told := make(chan callResult, 1)
-	newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { told <- o })
-	if o := <-told; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Full {
+	results := make(chan callResult, 1)
+	newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { results <- o })
+	if o := <-results; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Full {
 		t.Errorf("result: got %+v, want a delivered and b deferred", o)
 	}
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -27,8 +27,8 @@
 }
 
 func newTestCall() *call {
-	ctx, stop := context.WithCancelCause(context.Background())
-	return &call{ctx: ctx, cancel: stop}
+	ctx, cancel := context.WithCancelCause(context.Background())
+	return &call{ctx: ctx, cancel: cancel}
 }
 
 const testLimit = 20 * time.Second
@@ -49,14 +49,14 @@
 }
 
 // runForResult executes a call with one message and returns its only result.
-func (c *call) runForResult(t *testing.T, h *hostPool, rec *record, limit time.Duration) callResult {
+func (c *call) runForResult(t *testing.T, host *hostPool, rec *record, timeout time.Duration) callResult {
 	t.Helper()
-	told := make(chan callResult, 4)
-	c.run(h, []callItem{{rec: rec, timeout: limit}}, nil, func(_ *message, o callResult) { told <- o })
-	if len(told) != 1 {
-		t.Fatalf("reported results: got %d, want 1", len(told))
+	results := make(chan callResult, 4)
+	c.run(host, []callItem{{rec: rec, timeout: timeout}}, nil, func(_ *message, o callResult) { results <- o })
+	if len(results) != 1 {
+		t.Fatalf("reported results: got %d, want 1", len(results))
 	}
-	return <-told
+	return <-results
 }
 
 // waitReusable waits until the idle connections may be used again.
@@ -106,7 +106,7 @@
 }
 
 func TestOutcomeByResponse(t *testing.T) {
-	say := func(text string) func(net.Conn) {
+	respondWith := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
 			if readCall(bufio.NewReader(c)) {
 				io.WriteString(c, text)
@@ -114,31 +114,31 @@
 		}
 	}
 	for name, x := range map[string]struct {
-		serve   func(net.Conn)
-		what    decide.Outcome
-		wait    decide.Time
-		slots   bool
-		settled bool
+		serve      func(net.Conn)
+		outcome    decide.Outcome
+		retryAfter decide.Time
+		slotsTaken bool
+		settled    bool
 	}{
-		"delivered":                 {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"delivered, body cut off":   {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"error":                     {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"Retry-After":               {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
-		"unavailable":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
-		"slots taken":               {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
-		"attempts used up":          {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
-		"gone":                      {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
-		"undefined status":          {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"redirect is not followed":  {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"closed without a response": {serve: say(""), what: decide.Reset},
-		"invalid status line":       {serve: say("what?\r\n\r\n"), what: decide.Errored},
-		"incomplete status line":    {serve: say("HTTP/1.1 20"), what: decide.Reset},
-		"interim response first":    {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
+		"delivered":                 {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), outcome: decide.Delivered, settled: true},
+		"delivered, body cut off":   {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), outcome: decide.Delivered, settled: true},
+		"error":                     {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
+		"Retry-After":               {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Full, retryAfter: 750000},
+		"unavailable":               {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Full},
+		"slots taken":               {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, slotsTaken: true},
+		"attempts used up":          {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent},
+		"gone":                      {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, settled: true},
+		"undefined status":          {serve: respondWith("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
+		"redirect is not followed":  {serve: respondWith("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
+		"closed without a response": {serve: respondWith(""), outcome: decide.Reset},
+		"invalid status line":       {serve: respondWith("what?\r\n\r\n"), outcome: decide.Errored},
+		"incomplete status line":    {serve: respondWith("HTTP/1.1 20"), outcome: decide.Reset},
+		"interim response first":    {serve: respondWith("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := testPool(t).forHost(rawEndpoint(t, x.serve))
 			o := newTestCall().runForResult(t, h, &record{ID: "m", Key: "k", body: []byte("b")}, testLimit)
-			if o.outcome != x.what || o.retryAfter != x.wait || o.slotsTaken != x.slots || o.settled != x.settled {
+			if o.outcome != x.outcome || o.retryAfter != x.retryAfter || o.slotsTaken != x.slotsTaken || o.settled != x.settled {
 				t.Errorf("result: got %+v, want that of the case", o)
 			}
 		})
@@ -147,7 +147,7 @@
 
 // Guards the distinction between calls that have not run and calls that may have run. A call whose connection was
 // refused has not run; a call without a response after its last byte may have run.
-func TestOutcomesWithoutAnswer(t *testing.T) {
+func TestOutcomesWithoutResponse(t *testing.T) {
 	p := testPool(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,26 +158,26 @@
 	if o := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect {
 		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
 	}
-	gone := make(chan struct{}, 2)
-	entered := make(chan struct{}, 2)
+	closed := make(chan struct{}, 2)
+	received := make(chan struct{}, 2)
 	silent := rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
-		entered <- struct{}{}
+		received <- struct{}{}
 		in.ReadByte() // until the relay closes the connection
-		gone <- struct{}{}
+		closed <- struct{}{}
 	})
 	if o := newTestCall().runForResult(t, p.forHost(silent), &record{ID: "m"}, 50*time.Millisecond); o.outcome != decide.TimedOut {
 		t.Errorf("call without a response: got %+v, want the outcome TimedOut", o)
 	}
-	<-entered
-	<-gone // a call that times out closes its connection
+	<-received
+	<-closed // a call that times out closes its connection
 	c := newTestCall()
-	go func() { <-entered; c.cancel(errCancelled) }()
+	go func() { <-received; c.cancel(errCancelled) }()
 	if o := c.runForResult(t, p.forHost(silent), &record{ID: "m"}, testLimit); o.outcome != decide.Cancelled {
 		t.Errorf("cancelled call: got %+v, want the outcome Cancelled", o)
 	}
-	<-gone
+	<-closed
 }
 
 // Guards against a call that is sent a second time automatically because its kept-alive connection broke.
@@ -241,9 +241,9 @@
 		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", o, ep.count("late"))
 	}
 	// A call that is being sent is not cancelled.
-	under := newTestCall()
-	under.stage.Store(callSending)
-	if under.cancelUnsent(errDrained); under.ctx.Err() != nil {
+	sending := newTestCall()
+	sending.stage.Store(callSending)
+	if sending.cancelUnsent(errDrained); sending.ctx.Err() != nil {
 		t.Error("a call that was being sent was cancelled")
 	}
 }
@@ -252,39 +252,39 @@
 // endpoint that sent it if that is a separate route, and otherwise to all endpoints of its destination, but to no
 // other.
 func TestRetryAfterCancelsUnsentCalls(t *testing.T) {
-	for _, apart := range []bool{true, false} {
+	for _, separate := range []bool{true, false} {
 		r := testRelay(t)
-		r.cfg.Policy.Kinds = []decide.Kind{{Apart: apart, Batch: 1}}
+		r.cfg.Policy.Kinds = []decide.Kind{{Apart: separate, Batch: 1}}
 		r.cfg.kinds = map[string]int{"k": 0}
-		l := &List{Complete: true}
-		for i, cell := range []int{1, 1, 2} {
-			l.Members = append(l.Members, Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Flavor: "k", Cell: cell, Phase: phaseUp, Size: 5})
+		list := &List{Complete: true}
+		for i, dest := range []int{1, 1, 2} {
+			list.Members = append(list.Members, Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Flavor: "k", Cell: dest, Phase: phaseUp, Size: 5})
 		}
-		r.told(t, l)
+		r.told(t, list)
 		var calls []*call
-		for i := range l.Members {
+		for i := range list.Members {
 			c := newTestCall()
 			c.ep = r.named(fmt.Sprint("s-", i))
 			c.ep.calls[c] = true
 			calls = append(calls, c)
 		}
-		under := newTestCall()
-		under.ep = calls[0].ep
-		under.stage.Store(callSending)
-		under.ep.calls[under] = true
-		told := newTestCall()
-		told.ep = calls[0].ep
-		r.returned(told, nil, &callResult{outcome: decide.Full, retryAfter: 700e3})
-		for i, stopped := range []bool{true, !apart, false} {
-			if got := calls[i].stage.Load() == callCancelled; got != stopped || got != (calls[i].ctx.Err() != nil) {
-				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", apart, i, got, stopped)
+		sending := newTestCall()
+		sending.ep = calls[0].ep
+		sending.stage.Store(callSending)
+		sending.ep.calls[sending] = true
+		throttled := newTestCall()
+		throttled.ep = calls[0].ep
+		r.returned(throttled, nil, &callResult{outcome: decide.Full, retryAfter: 700e3})
+		for i, cancelled := range []bool{true, !separate, false} {
+			if got := calls[i].stage.Load() == callCancelled; got != cancelled || got != (calls[i].ctx.Err() != nil) {
+				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got, cancelled)
 			}
-			if got := calls[i].ep.waitUntil > r.now(); got != stopped {
-				t.Errorf("separate routes %v: endpoint %d waits: got %v, want %v", apart, i, got, stopped)
+			if got := calls[i].ep.waitUntil > r.now(); got != cancelled {
+				t.Errorf("separate routes %v: endpoint %d waits: got %v, want %v", separate, i, got, cancelled)
 			}
 		}
-		if under.ctx.Err() != nil {
-			t.Errorf("separate routes %v: a call that was being sent was cancelled", apart)
+		if sending.ctx.Err() != nil {
+			t.Errorf("separate routes %v: a call that was being sent was cancelled", separate)
 		}
 	}
 }
@@ -294,9 +294,9 @@
 func TestDeadIdleConnectionsAreClosed(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
-		o    callResult
-		now  decide.Time
-		want bool
+		result callResult
+		now    decide.Time
+		want   bool
 	}{
 		{callResult{outcome: decide.Delivered, status: 200, elapsed: 10}, 1000, false},
 		{callResult{outcome: decide.TimedOut, elapsed: 500}, 1100, false}, // sent at 600, and the endpoint responded at 1000
@@ -307,7 +307,7 @@
 		{callResult{outcome: decide.Full, status: 503}, 2300, false},
 		{callResult{outcome: decide.Cancelled, elapsed: 50}, 2320, false},
 	} {
-		if got := ep.recordResult(&x.o, x.now); got != x.want {
+		if got := ep.recordResult(&x.result, x.now); got != x.want {
 			t.Errorf("case %d: idle connections to be closed: got %v, want the opposite", i, got)
 		}
 	}
@@ -318,13 +318,13 @@
 func TestConnectionsAreKept(t *testing.T) {
 	var conns atomic.Int32
 	const burst = 6
-	together := make(chan struct{}, burst)
+	inFlight := make(chan struct{}, burst)
 	addr := rawEndpoint(t, func(c net.Conn) {
 		conns.Add(1)
 		in := bufio.NewReader(c)
 		for readCall(in) {
-			together <- struct{}{}
-			for len(together) < burst { // all calls of a burst are in flight together
+			inFlight <- struct{}{}
+			for len(inFlight) < burst { // all calls of a burst are in flight together
 				time.Sleep(time.Millisecond)
 			}
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
@@ -346,8 +346,8 @@
 			<-ended
 		}
 		waitReusable(h)
-		for len(together) > 0 {
-			<-together
+		for len(inFlight) > 0 {
+			<-inFlight
 		}
 	}
 	if n := conns.Load(); n != burst {
@@ -379,33 +379,33 @@
 // Guards the load reports in successful responses, also to a call with a single message. A report that arrives late
 // or is cut off does not delay the result.
 func TestLoadReportOfADelivery(t *testing.T) {
-	const first, load = "HTTP/1.1 200 OK\r\n", "X-Server-Load: x0=0.4,x1=25\r\n"
+	const statusLine, load = "HTTP/1.1 200 OK\r\n", "X-Server-Load: x0=0.4,x1=25\r\n"
 	for name, x := range map[string]struct {
 		parts []string
 		want  decide.Load
 	}{
-		"with the status line":  {[]string{first + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
-		"no report":             {[]string{first + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
-		"cut off":               {[]string{first + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
-		"invalid header":        {[]string{first + "x1=25\r\n\r\n"}, decide.Load{}},
-		"after the status line": {[]string{first, load + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
+		"with the status line":  {[]string{statusLine + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
+		"no report":             {[]string{statusLine + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
+		"cut off":               {[]string{statusLine + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
+		"invalid header":        {[]string{statusLine + "x1=25\r\n\r\n"}, decide.Load{}},
+		"after the status line": {[]string{statusLine, load + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := make(chan callResult, 4)
+			results := make(chan callResult, 4)
 			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if !readCall(bufio.NewReader(c)) {
 					return
 				}
 				for i, text := range x.parts {
 					if i > 0 { // waits for the result of the first part
-						o := <-told
-						told <- o
+						o := <-results
+						results <- o
 					}
 					io.WriteString(c, text)
 				}
 			}))
-			newTestCall().run(h, testItems("m"), []string{"x0", "x1"}, func(_ *message, o callResult) { told <- o })
-			if o := <-told; o.outcome != decide.Delivered || o.load != x.want {
+			newTestCall().run(h, testItems("m"), []string{"x0", "x1"}, func(_ *message, o callResult) { results <- o })
+			if o := <-results; o.outcome != decide.Delivered || o.load != x.want {
 				t.Errorf("result: got %+v, want the outcome Delivered and the load of the case", o)
 			}
 		})
--- a/internal/relay/faulty_call_test.go
+++ b/internal/relay/faulty_call_test.go
@@ -120,15 +120,15 @@
 func TestBreaksAfterTheLastByte(t *testing.T) {
 	for _, errno := range append(brokenErrnos, syscall.ENETUNREACH, syscall.ECONNABORTED) {
 		for name, x := range map[string]struct {
-			reads  int    // reads that succeed
-			answer string // the part that arrives
-			write  bool   // the write of the last byte fails, too
-			what   decide.Outcome
+			reads         int    // reads that succeed
+			response      string // the part that arrives
+			failLastWrite bool   // the write of the last byte fails, too
+			outcome       decide.Outcome
 		}{
-			"before a response":      {reads: 1, what: decide.Reset}, // the first read is the check for unexpected data
-			"in the status line":     {reads: 2, answer: "HTTP/1.1 2", what: decide.Reset},
-			"in the header of a 503": {reads: 2, answer: "HTTP/1.1 503 F\r\nContent-Le", what: decide.Errored},
-			"write of the last byte": {reads: 1, write: true, what: decide.Reset},
+			"before a response":      {reads: 1, outcome: decide.Reset}, // the first read is the check for unexpected data
+			"in the status line":     {reads: 2, response: "HTTP/1.1 2", outcome: decide.Reset},
+			"in the header of a 503": {reads: 2, response: "HTTP/1.1 503 F\r\nContent-Le", outcome: decide.Errored},
+			"write of the last byte": {reads: 1, failLastWrite: true, outcome: decide.Reset},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, errno), func(t *testing.T) {
 				t.Parallel()
@@ -137,7 +137,7 @@
 					in := bufio.NewReader(c)
 					if readCall(in) {
 						calls.Add(1)
-						io.WriteString(c, x.answer)
+						io.WriteString(c, x.response)
 						io.Copy(io.Discard, in)
 					}
 				}))
@@ -149,7 +149,7 @@
 					}
 					tcp := conn.(*net.TCPConn)
 					faulty := &faultyConn{TCPConn: tcp, reads: &faultSchedule{first: x.reads, failures: 1 << 30, errno: errno}}
-					if x.write {
+					if x.failLastWrite {
 						return &struct {
 							*lastByteErrorConn
 							faultyReader
@@ -159,7 +159,7 @@
 				}
 				o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
 				waitFor(t, "the call", func() bool { return calls.Load() == 1 })
-				if o.outcome != x.what || o.outcome.NeverRan() || o.settled {
+				if o.outcome != x.outcome || o.outcome.NeverRan() || o.settled {
 					t.Errorf("result: got %+v, want the outcome of the case", o)
 				}
 			})
@@ -214,7 +214,7 @@
 	addr, ids := batchTaker(t)
 	h := testPool(t).forHost(addr)
 	c := newTestCall()
-	over := &message{num: 1}
+	removed := &message{num: 1}
 	dial, dials := h.dial, 0
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, addr)
@@ -222,15 +222,15 @@
 			return conn, err
 		}
 		return &lastByteLostConn{conn.(*net.TCPConn), func() {
-			if c.removeMessage(over) {
+			if c.removeMessage(removed) {
 				t.Error("removeMessage after commitLastByte: got true, want false")
 			}
 		}}, nil
 	}
-	parts := []callItem{{message: over, rec: &record{ID: "over"}, timeout: testLimit}, {message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit}}
-	told := make(chan callResult, 1)
-	c.run(h, parts, nil, func(_ *message, o callResult) { told <- o })
-	if o := <-told; o.outcome != decide.Delivered {
+	items := []callItem{{message: removed, rec: &record{ID: "over"}, timeout: testLimit}, {message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit}}
+	results := make(chan callResult, 1)
+	c.run(h, items, nil, func(_ *message, o callResult) { results <- o })
+	if o := <-results; o.outcome != decide.Delivered {
 		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
 	if got := <-ids; len(got) != 1 || got[0] != "a" {
--- a/internal/relay/faulty_dial_test.go
+++ b/internal/relay/faulty_dial_test.go
@@ -107,22 +107,22 @@
 func TestCallWaitsForFullPool(t *testing.T) {
 	p := testPool(t)
 	p.maxOpen = 1
-	held, entered := newTestCall(), make(chan struct{})
+	holding, received := newTestCall(), make(chan struct{})
 	holder := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
-		close(entered)
+		close(received)
 		in.ReadByte()
 	}))
-	over := make(chan callResult, 1)
-	go held.run(holder, testItems("held"), nil, func(_ *message, o callResult) { over <- o })
-	<-entered
+	results := make(chan callResult, 1)
+	go holding.run(holder, testItems("held"), nil, func(_ *message, o callResult) { results <- o })
+	<-received
 	addr, calls := countingEndpoint(t)
 	h := p.forHost(addr)
 	waiting := newTestCall()
-	time.AfterFunc(minDialRetryDelay, func() { held.cancel(errCancelled) })
+	time.AfterFunc(minDialRetryDelay, func() { holding.cancel(errCancelled) })
 	if o := waiting.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.Delivered || calls.Load() != 1 {
 		t.Errorf("call with a full pool: got %+v, want the outcome Delivered and one call", o)
 	}
-	<-over
+	<-results
 }
--- a/internal/relay/faulty_net_test.go
+++ b/internal/relay/faulty_net_test.go
@@ -124,12 +124,12 @@
 	if c.reads != nil && c.reads.next() {
 		return 0, opError("read", "read", c.reads.errno)
 	}
-	most := c.maxRead
+	limit := c.maxRead
 	if c.readSizes != nil {
-		most = 1 + c.readSizes.IntN(7)
+		limit = 1 + c.readSizes.IntN(7)
 	}
-	if most > 0 {
-		b = b[:min(len(b), most)]
+	if limit > 0 {
+		b = b[:min(len(b), limit)]
 	}
 	return c.TCPConn.Read(b)
 }
--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -71,8 +71,8 @@
 // that of its status line, or 0 if that line is incomplete or invalid.
 func finalResponse(text []byte) (response []byte, status int) {
 	for {
-		line, rest, whole := bytes.Cut(text, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(text, []byte("\n"))
+		if !complete {
 			return text, 0
 		}
 		status, err := parseStatus(string(line))
@@ -82,17 +82,17 @@
 		if status >= 200 {
 			return text, status
 		}
-		if text, whole = afterHeader(rest); !whole {
+		if text, complete = afterHeader(rest); !complete {
 			return nil, 0
 		}
 	}
 }
 
 // afterHeader returns what follows the empty line that ends a header.
-func afterHeader(text []byte) (rest []byte, whole bool) {
+func afterHeader(text []byte) (rest []byte, complete bool) {
 	for {
 		var line []byte
-		if line, text, whole = bytes.Cut(text, []byte("\n")); !whole {
+		if line, text, complete = bytes.Cut(text, []byte("\n")); !complete {
 			return nil, false
 		}
 		if len(line) == 0 || string(line) == "\r" {
@@ -113,40 +113,40 @@
 }
 
 // checkResult checks that the result of a call is possible for its response.
-func checkResult(t *testing.T, o *callResult, response []byte, several bool) {
+func checkResult(t *testing.T, result *callResult, response []byte, batched bool) {
 	t.Helper()
 	_, status := finalResponse(response)
-	if o.retryAfter < 0 || o.retryAfter > maxRetryAfter.Microseconds() {
-		t.Errorf("Retry-After: got %d us, want 0 to maxRetryAfter", o.retryAfter)
+	if result.retryAfter < 0 || result.retryAfter > maxRetryAfter.Microseconds() {
+		t.Errorf("Retry-After: got %d us, want 0 to maxRetryAfter", result.retryAfter)
 	}
-	if o.load.Left < 0 || o.load.Left > maxLoadValue || o.load.Limit < 0 || o.load.Limit > maxLoadValue {
-		t.Errorf("load: got %+v, want values from 0 to maxLoadValue", o.load)
+	if result.load.Left < 0 || result.load.Left > maxLoadValue || result.load.Limit < 0 || result.load.Limit > maxLoadValue {
+		t.Errorf("load: got %+v, want values from 0 to maxLoadValue", result.load)
 	}
-	if o.status != 0 && o.status != status {
-		t.Errorf("status: got %d, want %d as in the status line", o.status, status)
+	if result.status != 0 && result.status != status {
+		t.Errorf("status: got %d, want %d as in the status line", result.status, status)
 	}
-	if delivered := status == http.StatusOK && !several; (o.outcome == decide.Delivered) != delivered {
-		t.Errorf("outcome: got %d with status %d, want Delivered for a 200 to a single message only", o.outcome, status)
+	if delivered := status == http.StatusOK && !batched; (result.outcome == decide.Delivered) != delivered {
+		t.Errorf("outcome: got %d with status %d, want Delivered for a 200 to a single message only", result.outcome, status)
 	}
-	if o.outcome != decide.Delivered && o.settled && (several || status != http.StatusGone) {
+	if result.outcome != decide.Delivered && result.settled && (batched || status != http.StatusGone) {
 		t.Errorf("settled: got true with status %d, want false", status)
 	}
-	if o.slotsTaken && (o.outcome != decide.NotSent || status != http.StatusServiceUnavailable) {
-		t.Errorf("slots taken: got outcome %d with status %d, want NotSent with 503", o.outcome, status)
+	if result.slotsTaken && (result.outcome != decide.NotSent || status != http.StatusServiceUnavailable) {
+		t.Errorf("slots taken: got outcome %d with status %d, want NotSent with 503", result.outcome, status)
 	}
-	if o.tooManyConns && (o.outcome != decide.Full || o.retryAfter != 0) {
-		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Full and 0", o.outcome, o.retryAfter)
+	if result.tooManyConns && (result.outcome != decide.Full || result.retryAfter != 0) {
+		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Full and 0", result.outcome, result.retryAfter)
 	}
-	if (o.malformed || o.err != nil) && o.outcome.NeverRan() {
-		t.Errorf("malformed response (%v): got an outcome of a call that has not run", o.err)
+	if (result.malformed || result.err != nil) && result.outcome.NeverRan() {
+		t.Errorf("malformed response (%v): got an outcome of a call that has not run", result.err)
 	}
-	if o.outcome.NeverRan() && !isCompleteResponse(response) {
-		t.Errorf("incomplete response: got outcome %d, want one of a call that may have run", o.outcome)
+	if result.outcome.NeverRan() && !isCompleteResponse(response) {
+		t.Errorf("incomplete response: got outcome %d, want one of a call that may have run", result.outcome)
 	}
-	switch o.outcome {
+	switch result.outcome {
 	case decide.Delivered, decide.Errored, decide.Full, decide.NotSent, decide.Reset:
 	default:
-		t.Errorf("outcome: got %d, want one that a response can have", o.outcome)
+		t.Errorf("outcome: got %d, want one that a response can have", result.outcome)
 	}
 }
 
@@ -157,16 +157,16 @@
 	if !got.reusable {
 		return
 	}
-	own := response[:got.read]
-	if !isCompleteResponse(own) {
-		t.Errorf("connection reusable after an incomplete response: %.200q", own)
+	complete := response[:got.read]
+	if !isCompleteResponse(complete) {
+		t.Errorf("connection reusable after an incomplete response: %.200q", complete)
 	}
-	if alone := readScripted(t, own, piece, io.EOF, items); !alone.reusable || alone.result.outcome != got.result.outcome {
+	if alone := readScripted(t, complete, piece, io.EOF, items); !alone.reusable || alone.result.outcome != got.result.outcome {
 		t.Errorf("result differs with surplus bytes: got %+v without and %+v with them", alone, got)
 	}
 	for _, end := range responseEnds {
-		if cut := readScripted(t, own[:len(own)-1], piece, end, items); cut.reusable {
-			t.Errorf("connection reusable though the last byte of the response %.200q is missing", own)
+		if truncated := readScripted(t, complete[:len(complete)-1], piece, end, items); truncated.reusable {
+			t.Errorf("connection reusable though the last byte of the response %.200q is missing", complete)
 		}
 	}
 }
@@ -174,9 +174,9 @@
 // FuzzReadResponse checks that any bytes from an endpoint give exactly one result, which is possible for them, and
 // that a connection is reusable only after a complete response.
 func FuzzReadResponse(f *testing.F) {
-	const whole = "HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.5,x1=20\r\nContent-Length: 2\r\n\r\nok"
-	f.Add([]byte(whole+whole), uint8(255), uint8(0), false)
-	f.Add([]byte("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+whole), uint8(7), uint8(0), false)
+	const complete = "HTTP/1.1 200 OK\r\nX-Server-Load: x0=0.5,x1=20\r\nContent-Length: 2\r\n\r\nok"
+	f.Add([]byte(complete+complete), uint8(255), uint8(0), false)
+	f.Add([]byte("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+complete), uint8(7), uint8(0), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nTrailer: x\r\n\r\n"), uint8(1), uint8(1), false)
 	f.Add([]byte("HTTP/1.1 429 W\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"), uint8(3), uint8(0), false)
 	f.Add([]byte("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), uint8(9), uint8(2), false)
@@ -189,14 +189,14 @@
 		`[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`+"\r\n"), uint8(40), uint8(0), true)
 	f.Add([]byte("HTTP/1.1 413 M\r\nContent-Length: 0\r\n\r\n"), uint8(40), uint8(0), true)
 	f.Add([]byte{}, uint8(0), uint8(0), true)
-	f.Fuzz(func(t *testing.T, response []byte, piece, end uint8, several bool) {
+	f.Fuzz(func(t *testing.T, response []byte, piece, end uint8, batched bool) {
 		items := testItems("a")
-		if several {
+		if batched {
 			items = append(items, testItems("b")...)
 		}
 		size := int(piece) + 1
 		got := readScripted(t, response, size, responseEnds[int(end)%len(responseEnds)], items)
-		checkResult(t, &got.result, response, several)
+		checkResult(t, &got.result, response, batched)
 		checkReuse(t, response, size, items, got)
 	})
 }
@@ -204,11 +204,11 @@
 // acceptedBy reports whether the response to a batch says that a message was accepted. It parses the response
 // independently of the code under test.
 func acceptedBy(body []byte, id string) bool {
-	var said []map[string]any
-	if json.Unmarshal(body, &said) != nil {
+	var states []map[string]any
+	if json.Unmarshal(body, &states) != nil {
 		return false
 	}
-	return slices.ContainsFunc(said, func(entry map[string]any) bool {
+	return slices.ContainsFunc(states, func(entry map[string]any) bool {
 		named, accepted := false, false
 		for key, value := range entry {
 			named = named || strings.EqualFold(key, "id") && value == id
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -21,35 +21,35 @@
 func TestMalformedResponses(t *testing.T) {
 	long := strings.Repeat("x", 8000)
 	for name, x := range map[string]struct {
-		answer  string
-		goes    bool // the endpoint sends without end after the response
-		what    decide.Outcome
-		settled bool
-		keeps   bool
+		response string
+		endless  bool // the endpoint sends without end after the response
+		outcome  decide.Outcome
+		settled  bool
+		reusable bool
 	}{
-		"503 with a short body":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Errored},
-		"invalid Retry-After":                 {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"410 with an incomplete header":       {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Errored},
-		"504 with two lengths":                {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Errored},
-		"503 with a length that is no number": {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Errored},
-		"503 with a negative length":          {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Errored},
-		"503 with a body of 3 GB":             {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Errored},
-		"503 with an endless header":          {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Errored},
-		"503 with a cut chunk":                {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Errored},
-		"binary data":                         {answer: "\x00\xff\x13noise\x00", what: decide.Errored},
-		"binary data before a status line":    {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Errored},
-		"endless status line":                 {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Errored},
-		"status of four digits":               {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"another protocol version":            {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"200 with a body of 3 GB":             {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Delivered, settled: true},
-		"200 with an incomplete header":       {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
-		"200 with binary data as header":      {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
-		"200 with a negative length":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
-		"several interim responses":           {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: decide.Delivered, settled: true, keeps: true},
-		"too many interim responses":          {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Errored},
-		"incomplete interim response":         {answer: "HTTP/1.1 103 E\r\n", what: decide.Errored},
-		"503, then a second copy":             {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Full},
-		"200, then a second copy":             {answer: okResponse + okResponse, what: decide.Delivered, settled: true},
+		"503 with a short body":               {response: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", outcome: decide.Errored},
+		"invalid Retry-After":                 {response: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
+		"410 with an incomplete header":       {response: "HTTP/1.1 410 G\r\nContent-Le", outcome: decide.Errored},
+		"504 with two lengths":                {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", outcome: decide.Errored},
+		"503 with a length that is no number": {response: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", outcome: decide.Errored},
+		"503 with a negative length":          {response: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", outcome: decide.Errored},
+		"503 with a body of 3 GB":             {response: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", endless: true, outcome: decide.Errored},
+		"503 with an endless header":          {response: "HTTP/1.1 503 F\r\n", endless: true, outcome: decide.Errored},
+		"503 with a cut chunk":                {response: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", outcome: decide.Errored},
+		"binary data":                         {response: "\x00\xff\x13noise\x00", outcome: decide.Errored},
+		"binary data before a status line":    {response: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: decide.Errored},
+		"endless status line":                 {response: "HTTP/1.1 503 " + long, endless: true, outcome: decide.Errored},
+		"status of four digits":               {response: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
+		"another protocol version":            {response: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
+		"200 with a body of 3 GB":             {response: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", endless: true, outcome: decide.Delivered, settled: true},
+		"200 with an incomplete header":       {response: "HTTP/1.1 200 OK\r\nX-", outcome: decide.Delivered, settled: true},
+		"200 with binary data as header":      {response: "HTTP/1.1 200 OK\r\n\x00\x01\xff", outcome: decide.Delivered, settled: true},
+		"200 with a negative length":          {response: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", outcome: decide.Delivered, settled: true},
+		"several interim responses":           {response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, outcome: decide.Delivered, settled: true, reusable: true},
+		"too many interim responses":          {response: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), outcome: decide.Errored},
+		"incomplete interim response":         {response: "HTTP/1.1 103 E\r\n", outcome: decide.Errored},
+		"503, then a second copy":             {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: decide.Full},
+		"200, then a second copy":             {response: okResponse + okResponse, outcome: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,9 +59,9 @@
 				if !readCall(in) {
 					return
 				}
-				io.WriteString(c, x.answer)
+				io.WriteString(c, x.response)
 				n := 0
-				for x.goes {
+				for x.endless {
 					m, err := c.Write([]byte(long))
 					if n += m; err != nil {
 						closed <- n
@@ -72,13 +72,13 @@
 				closed <- n
 			}))
 			o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
-			if o.outcome != x.what || o.settled != x.settled {
+			if o.outcome != x.outcome || o.settled != x.settled {
 				t.Errorf("result: got %+v, want that of the case", o)
 			}
 			if o.elapsed > (testLimit / 2).Microseconds() {
 				t.Errorf("elapsed time: got %d us, want no wait for data that does not come", o.elapsed)
 			}
-			if _, idle := h.pool.counts(); (idle != 0) != x.keeps {
+			if _, idle := h.pool.counts(); (idle != 0) != x.reusable {
 				t.Errorf("idle connections after the call: got %d, which is not what the case wants", idle)
 			}
 			h.closeIdle()
@@ -98,20 +98,20 @@
 			<-release
 		}
 	}))
-	told, over := make(chan callResult, 1), make(chan struct{})
+	results, done := make(chan callResult, 1), make(chan struct{})
 	go func() {
-		defer close(over)
-		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { told <- o })
+		defer close(done)
+		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { results <- o })
 	}()
-	if o := <-told; o.outcome != decide.Delivered {
+	if o := <-results; o.outcome != decide.Delivered {
 		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
 	select {
-	case <-over:
+	case <-done:
 		t.Error("the call did not wait for the rest of the response")
 	default:
 	}
-	<-over
+	<-done
 	close(release)
 }
 
@@ -126,32 +126,32 @@
 			io.WriteString(c, okResponse)
 		}
 	}))
-	told, over := make(chan callResult, 1), make(chan struct{})
+	results, done := make(chan callResult, 1), make(chan struct{})
 	go func() {
-		defer close(over)
-		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { told <- o })
+		defer close(done)
+		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { results <- o })
 	}()
 	select {
-	case o := <-told:
+	case o := <-results:
 		t.Fatalf("result before the final response: got %+v, want none", o)
 	case <-time.After(2 * responseStallTimeout):
 	}
 	close(release)
-	if o := <-told; o.outcome != decide.Delivered {
+	if o := <-results; o.outcome != decide.Delivered {
 		t.Errorf("result: got %+v, want the outcome Delivered", o)
 	}
-	<-over
+	<-done
 }
 
 // Guards against surplus bytes after a response: a second copy or binary data must not be taken for the response to
 // the next call, whether they arrive before the connection is put back, while it is idle, or only when all of the
 // next call but its last byte is written. The call has not run then, and is sent once, on another connection.
 func TestSurplusBytesAfterResponse(t *testing.T) {
-	for name, behind := range map[string]string{"copy": okResponse, "binary data": "\x00\x01\x02", "end": ""} {
+	for name, surplus := range map[string]string{"copy": okResponse, "binary data": "\x00\x01\x02", "end": ""} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
-			said := make(chan struct{}, 8)
-			more := make(chan struct{})
+			sent := make(chan struct{}, 8)
+			sendSurplus := make(chan struct{})
 			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				first := conns.Add(1) == 1
 				in := bufio.NewReader(c)
@@ -161,10 +161,10 @@
 						continue
 					}
 					io.WriteString(c, okResponse)
-					<-more
-					io.WriteString(c, behind)
-					said <- struct{}{}
-					if behind == "" {
+					<-sendSurplus
+					io.WriteString(c, surplus)
+					sent <- struct{}{}
+					if surplus == "" {
 						return
 					}
 				}
@@ -175,8 +175,8 @@
 			if _, idle := h.pool.counts(); idle != 1 {
 				t.Fatalf("idle connections after the first call: got %d, want 1", idle)
 			}
-			close(more)
-			<-said
+			close(sendSurplus)
+			<-sent
 			waitReusable(h)
 			waitFor(t, "the surplus bytes", func() bool {
 				h.pool.mu.Lock()
@@ -320,27 +320,27 @@
 			t.Fatalf("open connections: got %d, want at most 3", open)
 		}
 	}
-	entered := make(chan struct{}, 3)
+	received := make(chan struct{}, 3)
 	stuck := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		readCall(in)
-		entered <- struct{}{}
+		received <- struct{}{}
 		in.ReadByte()
 	}))
 	var calls []*call
-	over := make(chan callResult, 3)
+	results := make(chan callResult, 3)
 	for range 3 {
 		c := newTestCall()
 		calls = append(calls, c)
-		go func() { c.run(stuck, testItems("m"), nil, func(_ *message, o callResult) { over <- o }) }()
-		<-entered
+		go func() { c.run(stuck, testItems("m"), nil, func(_ *message, o callResult) { results <- o }) }()
+		<-received
 	}
 	if o := newTestCall().runForResult(t, stuck, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
 		t.Errorf("fourth call with a limit of 3: got %+v, want the outcome NotSent", o)
 	}
 	for _, c := range calls {
 		c.cancel(errCancelled)
-		<-over
+		<-results
 	}
 	waitFor(t, "the connections to close", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := p.forHost("127.0.0.1:1")
