--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -36,7 +36,7 @@
 		a.log.Warn(a.listener+": accept failed", "err", err, "failures", a.unloggedFailures)
 		a.unloggedFailures, a.loggedAt = 0, now
 	}
-	if a.consecutiveFailures <= maxImmediateAcceptRetries && isOfOneConnection(err) {
+	if a.consecutiveFailures <= maxImmediateAcceptRetries && isSingleConnFailure(err) {
 		return 0
 	}
 	return acceptRetryDelay
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -185,7 +185,7 @@
 
 // Read reads from the connection and records the time of each read that returns data.
 func (cc *clientConn) Read(b []byte) (int, error) {
-	n, err := readOnce(cc.Conn, b)
+	n, err := readWithRetry(cc.Conn, b)
 	if n > 0 {
 		cc.lastReadAt.Store(int64(cc.clock.Now()))
 	}
@@ -518,7 +518,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	if n, err := unread(cc.Conn); n <= 0 || err != nil {
+	if n, err := peekSocket(cc.Conn); n <= 0 || err != nil {
 		return false
 	}
 	c.mu.Lock()
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -19,7 +19,7 @@
 func serveClients(t *testing.T, submit func(*putRequest)) (*clients, string, chan bool) {
 	t.Helper()
 	written := make(chan bool, 16)
-	server := newClients(testSet(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 // TestParsePut: a valid MSG.PUT is parsed into a record, and unknown fields are ignored.
 func TestParsePut(t *testing.T) {
 	now := clock.Instant(1e15)
-	request, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	request, err := parseTestConfig(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	for deadlineMS, want := range map[string]time.Duration{"12000": 11950 * time.Millisecond,
 		"1000": 950 * time.Millisecond,
 		"200":  190 * time.Millisecond, "0": 0} {
-		request, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+		request, err := parseTestConfig(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 			[]byte("c=plain,t=acme,dest=12,d=" + deadlineMS), nil}, now)
 		if err != nil {
 			t.Fatal(err)
@@ -266,7 +266,7 @@
 // connection that waits for its reply stays open.
 func TestIncompleteCommand(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
-	server := newClients(testSet(t), clock.System(), quietLog(), func(request *putRequest) { submitted <- request },
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) { submitted <- request },
 		func(*putRequest, bool) {})
 	server.firstCommandTimeout, server.commandTimeout, server.idleTimeout =
 		300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
--- a/internal/relay/faulty_accept_test.go
+++ b/internal/relay/faulty_accept_test.go
@@ -16,7 +16,7 @@
 	const failureTime = 200 * time.Millisecond
 	serve := map[string]func(net.Listener){
 		"clients": func(listener net.Listener) {
-			newClients(testSet(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {}).serve(listener)
+			newClients(parseTestConfig(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {}).serve(listener)
 		},
 		"operators": func(listener net.Listener) {
 			(&operatorPort{calls: operatorCalls{"READY": func() (string, bool) { return "ready", true }},
--- a/internal/relay/faulty_client_test.go
+++ b/internal/relay/faulty_client_test.go
@@ -15,8 +15,8 @@
 	wrap func(*net.TCPConn) net.Conn) (*clients, string, chan bool) {
 	t.Helper()
 	written := make(chan bool, 64)
-	server := newClients(testSet(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
-	listener := &connListener{listenLocal(t), wrap}
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	listener := &wrappingListener{listenLocal(t), wrap}
 	go server.serve(listener)
 	return server, listener.Addr().String(), written
 }
@@ -24,14 +24,14 @@
 // TestRequestReadInPieces: requests that arrive in single bytes, in pieces of random sizes, or interrupted by
 // transient errors are read as they were written, and answered.
 func TestRequestReadInPieces(t *testing.T) {
-	faults := map[string]func(*faultyConn){"single bytes": func(conn *faultyConn) { conn.readMost = 1 }}
+	faults := map[string]func(*faultyConn){"single bytes": func(conn *faultyConn) { conn.maxRead = 1 }}
 	for seed := range uint64(5) {
-		faults[fmt.Sprintf("seed %d", seed)] = func(conn *faultyConn) { conn.chunks = newRand(seed) }
+		faults[fmt.Sprintf("seed %d", seed)] = func(conn *faultyConn) { conn.readSizes = newRand(seed) }
 	}
 	for _, errno := range transientErrnos {
 		for first := range 4 {
 			faults[fmt.Sprintf("%v from read %d", errno, first)] = func(conn *faultyConn) {
-				conn.readMost, conn.reads = 16, &schedule{first: first, calls: 3, errno: errno}
+				conn.maxRead, conn.reads = 16, &faultSchedule{first: first, failures: 3, errno: errno}
 			}
 		}
 	}
@@ -66,7 +66,7 @@
 	for failAfter := range len(resp.OK) {
 		for _, errno := range transientErrnos {
 			_, addr, written := serveFaultyConns(t, replyOK, func(conn *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: conn, writeFail: failAfter, writeErrno: errno, writeFails: 2}
+				return &faultyConn{TCPConn: conn, failWriteAt: failAfter, writeErrno: errno, writeFailures: 2}
 			})
 			client := dialClient(t, addr)
 			if reply := client.put("m", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
@@ -79,7 +79,7 @@
 		}
 		for _, errno := range brokenErrnos {
 			server, addr, written := serveFaultyConns(t, replyOK, func(conn *net.TCPConn) net.Conn {
-				return &faultyConn{TCPConn: conn, writeFail: failAfter, writeErrno: errno, writeFails: 1 << 30}
+				return &faultyConn{TCPConn: conn, failWriteAt: failAfter, writeErrno: errno, writeFailures: 1 << 30}
 			})
 			client := dialClient(t, addr)
 			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
@@ -98,7 +98,7 @@
 		_, addr, written := serveFaultyConns(t, func(request *putRequest) {
 			submitted <- request
 		}, func(conn *net.TCPConn) net.Conn {
-			return &faultyConn{TCPConn: conn, reads: &schedule{first: 1, calls: 1 << 30, errno: errno}}
+			return &faultyConn{TCPConn: conn, reads: &faultSchedule{first: 1, failures: 1 << 30, errno: errno}}
 		})
 		client := dialClient(t, addr)
 		io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -14,7 +14,7 @@
 // FuzzParsePut checks each message that is parsed without an error: its class and tenant are configured, its time left
 // is within the limit of its class, its id and key can be header values, and a log record restores it unchanged.
 func FuzzParsePut(f *testing.F) {
-	cfg := testSet(f)
+	cfg := parseTestConfig(f)
 	f.Add("message-1", fields("keyed", 20000, 7), []byte("body\n\x00"))
 	f.Add("message-1", "c=plain,t=acme,d=1500.25,dest=4294967295,new=field", []byte{})
 	f.Add("message-1", "c=once,t=acme,d=40000,dest=0,k=", []byte("b"))
--- a/internal/relay/hangup_test.go
+++ b/internal/relay/hangup_test.go
@@ -72,7 +72,7 @@
 	c.once.Do(func() {
 		c.beforeClose()
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if n, err := unread(c.TCPConn); n != -1 || err != nil {
+			if n, err := peekSocket(c.TCPConn); n != -1 || err != nil {
 				return
 			}
 		}
@@ -107,7 +107,7 @@
 			var client *testClient
 			dialled, notReceived := make(chan struct{}), make(chan struct{})
 			written := make(chan bool, 4)
-			server := newClients(testSet(t), clock.System(), quietLog(), func(request *putRequest) {
+			server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) {
 				if request.record.ID == "during-close" {
 					t.Error("a message was taken after the connection was closed")
 				}
@@ -116,7 +116,7 @@
 			if name == "idle for too long" {
 				server.idleTimeout = 50 * time.Millisecond
 			}
-			listener := &connListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
+			listener := &wrappingListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
 				return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
 					<-dialled
 					io.WriteString(client, putText("during-close", fields("plain", 8000, 1), nil))
--- a/internal/relay/ops_test.go
+++ b/internal/relay/ops_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	server := newClients(testSet(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {})
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {})
 	serverConn := &clientConn{Conn: conn, clock: clock.System(), sentCommand: true}
 	server.mu.Lock()
 	serverConn.beginClose()
