--- a/internal/relay/walhealth.go
+++ b/internal/relay/walhealth.go
@@ -10,246 +10,248 @@
 	"troutusher/internal/clock"
 )
 
-// The log while its folder fails. Nothing new is taken on then. What the log is told of
-// messages that were taken on before is booked in memory and kept in order, to be written
-// once the folder works again: behind what the file holds, or by a compaction. A timer
-// tries that. The failure is logged once as it begins and once as it ends.
+// The log while the state folder fails. No new messages are accepted then. Records of messages that
+// were accepted before are applied in memory and postponed, in order. Once the folder works again
+// they are appended to the file or written by a compaction. A timer retries that. Each failure is
+// logged once when it begins and once when it ends.
 
 const (
-	healFirst = 100 * time.Millisecond // until the first try to write again
-	healMost  = time.Second            // between two tries
+	firstWriteRetryDelay = 100 * time.Millisecond
+	maxWriteRetryDelay   = time.Second
 )
 
 var (
-	errFolderFails = errors.New("log: the folder cannot be written")
-	errNoFile      = errors.New("log: no file is open")
-	// errPostponed says that a record is booked, and will be written when the folder works again.
-	errPostponed = errors.New("log: to be written later")
+	errFolderUnwritable = errors.New("log: state folder is not writable")
+	errNoFile           = errors.New("log: no file is open")
+	// errPostponed: the record is applied, and will be written once the state folder works again.
+	errPostponed = errors.New("log: record postponed")
 )
 
-// walHealth is what the log knows of a failing folder.
+// walHealth is the state of the log with regard to a failing folder.
 type walHealth struct {
-	failing     bool // records cannot be written
-	uncompacted bool // the last compaction failed; records can be written all the same
-	torn        bool // bytes of a record that failed may lie behind the last whole one
-	largest     int  // bytes of the largest record that failed
-	postponed   []postponedRecord
-	since       clock.Instant // the failure began; zero for none
-	retry       *time.Timer
-	retryWait   time.Duration
-	retryAt     clock.Instant
-	full        bool               // it was told that there is no room
-	changed     func(failing bool) // told when failing changes; may be nil
+	failing            bool // records cannot be written
+	compactionFailed   bool // the last compaction failed; records may still be writable
+	tornTail           bool // part of a failed write may be in the file after the last complete record
+	largestFailedBytes int  // size of the largest write that failed
+	postponed          []postponedRecord
+	failingSince       clock.Instant // start of the failure; zero for none
+	retryTimer         *time.Timer
+	retryDelay         time.Duration
+	retryAt            clock.Instant
+	fullReported       bool               // the log has reported that there is no space
+	onChange           func(failing bool) // called when failing changes; may be nil
 }
 
-// postponedRecord waits for the folder to work again.
+// postponedRecord is a record or a call that waits until the folder works again.
 type postponedRecord struct {
-	rec  *record       // nil where only then is wanted, once everything before is written
-	then func()        // may be nil
-	by   clock.Instant // when then is called though rec is not written; zero for never
+	rec       *record       // nil for a call alone
+	onWritten func()        // called once everything up to rec is written; may be nil
+	callBy    clock.Instant // when onWritten is called even if rec is not written; zero for never
 }
 
-// retryTime is a channel on which the next try to write is due; nil for none.
-func (h *walHealth) retryTime() <-chan time.Time {
-	if h.retry == nil {
+// retryDue returns the channel that fires when the next retry is due, or nil if none is planned.
+func (h *walHealth) retryDue() <-chan time.Time {
+	if h.retryTimer == nil {
 		return nil
 	}
-	return h.retry.C
+	return h.retryTimer.C
 }
 
-// begin notes that the folder fails, and logs it where that is news.
-func (w *wal) begin(operation string, cause error) {
+// beginFailure starts the retries, and logs that the folder fails. It does nothing during a failure.
+func (w *wal) beginFailure(operation string, cause error) {
 	h := &w.health
-	if !h.since.IsZero() {
+	if !h.failingSince.IsZero() {
 		return
 	}
-	h.since = w.clock.Now()
-	h.retryWait = healFirst
-	h.retryAt = h.since.Add(h.retryWait)
-	h.retry = time.NewTimer(h.retryWait)
-	w.log.Error("state folder: failing", "folder", w.logs.dir, "operation", operation, "file", w.path, "offset", w.size, "err", cause)
+	h.failingSince = w.clock.Now()
+	h.retryDelay = firstWriteRetryDelay
+	h.retryAt = h.failingSince.Add(h.retryDelay)
+	h.retryTimer = time.NewTimer(h.retryDelay)
+	w.log.Error("state folder: failing", "folder", w.slots.dir, "operation", operation,
+		"file", w.path, "offset", w.size, "err", cause)
 }
 
-// fail notes that a record cannot be written.
-func (w *wal) fail(operation string, cause error) {
-	w.begin(operation, cause)
+// failWrites notes that records cannot be written.
+func (w *wal) failWrites(operation string, cause error) {
+	w.beginFailure(operation, cause)
 	if !w.health.failing {
 		w.health.failing = true
-		w.tell()
+		w.notifyFailing()
 	}
 }
 
-func (w *wal) tell() {
-	if w.health.changed != nil {
-		w.health.changed(w.health.failing)
+func (w *wal) notifyFailing() {
+	if w.health.onChange != nil {
+		w.health.onChange(w.health.failing)
 	}
 }
 
-// failCompaction notes that a compaction failed. The log is as it was.
+// failCompaction notes that a compaction failed. The file is unchanged.
 func (w *wal) failCompaction(cause error) {
-	w.begin("compact", cause)
-	w.health.uncompacted = true
+	w.beginFailure("compact", cause)
+	w.health.compactionFailed = true
 }
 
-// mayCompact is false for a while after a compaction that failed.
-func (w *wal) mayCompact() bool {
-	return !w.health.uncompacted || w.clock.Now() >= w.health.retryAt
+// compactionAllowed reports whether a compaction may be attempted. After a failed one it waits for the next retry.
+func (w *wal) compactionAllowed() bool {
+	return !w.health.compactionFailed || w.clock.Now() >= w.health.retryAt
 }
 
-// heal tries to write again what could not be written.
-func (w *wal) heal() {
+// retryWrites attempts again what could not be written.
+func (w *wal) retryWrites() {
 	h := &w.health
-	if h.since.IsZero() {
+	if h.failingSince.IsZero() {
 		return
 	}
-	if h.failing && w.rewrite() == nil {
+	if h.failing && w.resumeWrites() == nil {
 		h.failing = false
-		h.largest = 0
-		w.tell()
+		h.largestFailedBytes = 0
+		w.notifyFailing()
 	}
-	if !h.failing && h.uncompacted && w.compact() == nil {
-		h.uncompacted = false
+	if !h.failing && h.compactionFailed && w.compact() == nil {
+		h.compactionFailed = false
 	}
-	if !h.failing && !h.uncompacted {
-		w.log.Info("state folder: works again", "folder", w.logs.dir, "after_ms", clock.Since(w.clock, h.since).Milliseconds())
-		h.retry.Stop()
-		h.retry, h.since = nil, 0
+	if !h.failing && !h.compactionFailed {
+		w.log.Info("state folder: works again", "folder", w.slots.dir,
+			"after_ms", clock.Since(w.clock, h.failingSince).Milliseconds())
+		h.retryTimer.Stop()
+		h.retryTimer, h.failingSince = nil, 0
 		return
 	}
 	w.callOverdue()
-	h.retryWait = min(2*h.retryWait, healMost)
-	h.retryAt = w.clock.Now().Add(h.retryWait)
-	h.retry.Reset(h.retryWait)
+	h.retryDelay = min(2*h.retryDelay, maxWriteRetryDelay)
+	h.retryAt = w.clock.Now().Add(h.retryDelay)
+	h.retryTimer.Reset(h.retryDelay)
 }
 
-// rewrite writes everything that is postponed, and makes sure that what failed would fit now.
-func (w *wal) rewrite() error {
-	err := w.flush()
+// resumeWrites writes everything that is postponed, and checks that the largest failed write would succeed now.
+func (w *wal) resumeWrites() error {
+	err := w.flushPostponed()
 	if err == nil {
-		err = w.probe()
+		err = w.probeSpace()
 	}
-	if err != nil { // a new file may do where this one does not
+	if err != nil { // a new file may be writable even if this one is not
 		err = w.compact()
 	}
 	return err
 }
 
-// flush writes what is postponed behind what the file holds.
-func (w *wal) flush() error {
+// flushPostponed appends the postponed records to the file.
+func (w *wal) flushPostponed() error {
 	h := &w.health
 	for len(h.postponed) > 0 {
 		next := h.postponed[0]
 		if next.rec != nil {
-			text, err := next.rec.encode(w.buffer[:0])
+			data, err := next.rec.encode(w.buffer[:0])
 			if err != nil {
 				return err
 			}
-			w.buffer = text
-			if w.size+int64(len(text)) > w.limit-walSlack-w.others.Load() {
+			w.buffer = data
+			if w.size+int64(len(data)) > w.limitBytes-diskSlackBytes-w.otherLogsBytes.Load() {
 				return w.compact()
 			}
-			if err := w.writeRecord(text); err != nil {
+			if err := w.writeRecord(data); err != nil {
 				return err
 			}
 		}
 		h.postponed = h.postponed[1:]
-		next.written()
+		next.notifyWritten()
 	}
 	h.postponed = nil
 	return nil
 }
 
-func (p *postponedRecord) written() {
-	if p.then != nil {
-		p.then()
+func (p *postponedRecord) notifyWritten() {
+	if p.onWritten != nil {
+		p.onWritten()
 	}
 }
 
-// probe writes as much as the largest record that failed, and takes it back.
-func (w *wal) probe() error {
-	room := w.limit - walSlack - w.others.Load() - w.size
-	probe := make([]byte, max(min(int64(w.health.largest), room), 0))
+// probeSpace writes as many bytes as the largest failed write had, and truncates them again.
+func (w *wal) probeSpace() error {
+	freeBytes := w.limitBytes - diskSlackBytes - w.otherLogsBytes.Load() - w.size
+	filler := make([]byte, max(min(int64(w.health.largestFailedBytes), freeBytes), 0))
 	size := w.size
-	if err := w.write(probe); err != nil {
+	if err := w.write(filler); err != nil {
 		return err
 	}
-	w.size, w.health.torn = size, true
-	return w.cutBack()
+	w.size, w.health.tornTail = size, true
+	return w.truncateTornTail()
 }
 
-// cutBack removes what a failed write may have left behind the last whole record.
-func (w *wal) cutBack() error {
-	if !w.health.torn {
+// truncateTornTail removes what a failed write may have left after the last complete record.
+func (w *wal) truncateTornTail() error {
+	if !w.health.tornTail {
 		return nil
 	}
 	if err := w.file.Truncate(w.size); err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	w.health.torn = false
+	w.health.tornTail = false
 	return nil
 }
 
-// write puts text behind the last whole record. Where that fails the file ends with the
-// last whole record all the same, now or before the next write.
-func (w *wal) write(text []byte) error {
+// write appends data after the last complete record. If that fails the partial write is truncated,
+// now or before the next write.
+func (w *wal) write(data []byte) error {
 	if w.file == nil {
 		return errNoFile
 	}
-	if err := w.cutBack(); err != nil {
+	if err := w.truncateTornTail(); err != nil {
 		return err
 	}
-	if _, err := w.file.WriteAt(text, w.size); err != nil {
-		w.health.torn = true
-		w.health.largest = max(w.health.largest, len(text))
-		return errors.Join(fmt.Errorf("log: %w", err), w.cutBack())
+	if _, err := w.file.WriteAt(data, w.size); err != nil {
+		w.health.tornTail = true
+		w.health.largestFailedBytes = max(w.health.largestFailedBytes, len(data))
+		return errors.Join(fmt.Errorf("log: %w", err), w.truncateTornTail())
 	}
-	w.size += int64(len(text))
+	w.size += int64(len(data))
 	return nil
 }
 
-// compacted books that the file holds everything.
-func (w *wal) compacted() {
+// compactionDone updates the state after a compaction: the file now holds everything.
+func (w *wal) compactionDone() {
 	h := &w.health
-	h.torn, h.uncompacted = false, false
-	if w.settled != nil {
-		w.settled()
-		w.settled = nil
+	h.tornTail, h.compactionFailed = false, false
+	if w.removeRecovered != nil {
+		w.removeRecovered()
+		w.removeRecovered = nil
 	}
 	written := h.postponed
 	h.postponed = nil
 	for i := range written {
-		written[i].written()
+		written[i].notifyWritten()
 	}
 }
 
-// postpone books a record that could not be written, where that is safe, and keeps it to be
-// written later. An error other than errPostponed says that it does not count.
-func (w *wal) postpone(r *record, cause error) error {
-	if r.Kind == recAttempt && !w.repeatable(r) {
-		return fmt.Errorf("%w: %w", errFolderFails, cause)
+// postpone applies a record that could not be written and keeps it to be written later, if that is
+// safe. Any error but errPostponed means that the record was rejected.
+func (w *wal) postpone(rec *record, cause error) error {
+	if rec.Kind == recordAttempt && !w.maySendUnrecorded(rec) {
+		return fmt.Errorf("%w: %w", errFolderUnwritable, cause)
 	}
 	h := &w.health
-	p := postponedRecord{rec: r}
+	p := postponedRecord{rec: rec}
 	var result error
-	switch r.Kind {
-	case recOutage: // the newest is all that counts
+	switch rec.Kind {
+	case recordOutage: // only the newest outage record of an endpoint counts
 		h.postponed = slices.DeleteFunc(h.postponed, func(old postponedRecord) bool {
-			return old.rec != nil && old.rec.Kind == recOutage && old.rec.ID == r.ID
+			return old.rec != nil && old.rec.Kind == recordOutage && old.rec.ID == rec.ID
 		})
-	case recEnding:
-		p.by = w.live[r.ID].rec.Deadline
+	case recordEnding:
+		p.callBy = w.pending[rec.ID].rec.Deadline
 		result = errPostponed
 	}
 	h.postponed = append(h.postponed, p)
-	w.apply(r)
+	w.apply(rec)
 	return result
 }
 
-// repeatable reports whether an attempt may go out without its record. After a kill its message
-// would be sent once more as if this attempt had never been. That is harmless where the class may
-// simply be repeated, or where its last moment comes before its repeats are no longer recognised.
-func (w *wal) repeatable(attempt *record) bool {
-	message := w.live[attempt.ID].rec
+// maySendUnrecorded reports whether an attempt may be sent without its record. After a kill the
+// message would be sent again as if the attempt had not been made. That is harmless if its class is
+// safe to repeat, or if its deadline comes before the deduplication window of the attempt ends.
+func (w *wal) maySendUnrecorded(attempt *record) bool {
+	message := w.pending[attempt.ID].rec
 	rules := message.Rules
 	switch {
 	case rules == nil:
@@ -262,49 +264,50 @@
 	return false
 }
 
-// whenWritten has then called once the record that was postponed last is written. For an ending
-// that is at the end of its message's time at the latest: no later process would send it any more.
-func (w *wal) whenWritten(then func()) {
+// whenLastWritten calls onWritten once the last postponed record is written. For a recordEnding that
+// is at the deadline of its message at the latest: no later process would send the message after it.
+func (w *wal) whenLastWritten(onWritten func()) {
 	if last := len(w.health.postponed) - 1; last >= 0 {
-		w.health.postponed[last].then = then
+		w.health.postponed[last].onWritten = onWritten
 		return
 	}
-	then()
+	onWritten()
 }
 
-// afterAll has then called once everything that is booked by now is written.
-func (w *wal) afterAll(then func()) {
+// whenAllWritten calls onWritten once everything applied so far is written.
+func (w *wal) whenAllWritten(onWritten func()) {
 	if w.health.failing || len(w.health.postponed) > 0 {
-		w.health.postponed = append(w.health.postponed, postponedRecord{then: then})
+		w.health.postponed = append(w.health.postponed, postponedRecord{onWritten: onWritten})
 		return
 	}
-	then()
+	onWritten()
 }
 
-// callOverdue calls what cannot wait any longer for its record to be written.
+// callOverdue calls each onWritten whose callBy has passed before its record was written.
 func (w *wal) callOverdue() {
 	now := w.clock.Now()
 	for i := range w.health.postponed {
 		p := &w.health.postponed[i]
-		if p.then != nil && !p.by.IsZero() && now >= p.by {
-			p.then()
-			p.then = nil
+		if p.onWritten != nil && !p.callBy.IsZero() && now >= p.callBy {
+			p.onWritten()
+			p.onWritten = nil
 		}
 	}
 }
 
-// refuseFull reports that there is no room for a message, the first time.
-func (w *wal) refuseFull() {
-	if !w.health.full {
-		w.health.full = true
-		w.log.Warn("log: full, new requests are refused", "file", w.path, "bytes", w.size, "owed", w.owed, "limit", w.limit)
+// reportFull logs once that there is no space for a message.
+func (w *wal) reportFull() {
+	if !w.health.fullReported {
+		w.health.fullReported = true
+		w.log.Warn("log: full, new messages are refused", "file", w.path, "bytes", w.size,
+			"owed", w.reservedBytes, "limit", w.limitBytes)
 	}
 }
 
-// tookOn reports that there is room again, where the longest message would fit.
-func (w *wal) tookOn(free int64) {
-	if w.health.full && 2*(w.owed+recordMost) <= free {
-		w.health.full = false
-		w.log.Info("log: not full any more", "file", w.path, "bytes", w.size, "owed", w.owed)
+// reportSpaceAvailable logs that there is space again, once the longest message would fit.
+func (w *wal) reportSpaceAvailable(freeBytes int64) {
+	if w.health.fullReported && 2*(w.reservedBytes+maxRecordBytes) <= freeBytes {
+		w.health.fullReported = false
+		w.log.Info("log: space available again", "file", w.path, "bytes", w.size, "owed", w.reservedBytes)
 	}
 }
