--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -343,9 +343,9 @@
 }
 
 // launchLoggedChild starts a relay and keeps what it logs.
-func launchLoggedChild(t *testing.T, env map[string]string) (*child, *lines) {
+func launchLoggedChild(t *testing.T, env map[string]string) (*child, *childLog) {
 	t.Helper()
-	logged := &lines{}
+	logged := &childLog{}
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
 	c.cmd.Stderr = logged
 	c.launch(t)
--- a/internal/relay/faultyfolder_test.go
+++ b/internal/relay/faultyfolder_test.go
@@ -24,46 +24,46 @@
 	opLock     folderOperation = "lock"
 )
 
-// changesFolder are the operations that fail together when a folder is not writable.
-var changesFolder = []folderOperation{opOpen, opWrite, opTruncate, opRename, opRemove}
+// modifyingOperations are the operations that fail together when a folder is not writable.
+var modifyingOperations = []folderOperation{opOpen, opWrite, opTruncate, opRename, opRemove}
 
-// plannedFault fails the operations of one kind from the first to the last, counted from 1.
-type plannedFault struct {
+// folderFault fails the operations of one kind from the first to the last, counted from 1.
+type folderFault struct {
 	operation   folderOperation
 	first, last int
 	err         error
 	written     int // bytes of a failed write that still reach the file
 }
 
-// forEver, as the last operation of a fault, means that it does not end.
-const forEver = 1 << 62
+// neverEnds, as the last operation of a fault, means that it does not end.
+const neverEnds = 1 << 62
 
 // faultyFolder is a logFolder on the operating system's file system that fails some operations.
 type faultyFolder struct {
 	osFolder
 	mu     sync.Mutex
 	counts map[folderOperation]int
-	faults []plannedFault
+	faults []folderFault
 	// killAfter is the number of bytes that still reach the files. Every change after those is lost,
 	// as if the process had been killed. Negative for no limit.
 	killAfter int
-	// chance is the probability that an operation fails, drawn from random; zero for none.
-	chance float64
-	random *rand.Rand
-	// keepsShortWrites makes Truncate do nothing.
-	keepsShortWrites bool
-	// control is the path of a file that lists faults: one operation and one error name per line.
-	control string
+	// failureProbability is the probability that an operation fails, drawn from random; zero for none.
+	failureProbability float64
+	random             *rand.Rand
+	// ignoresTruncate makes Truncate do nothing.
+	ignoresTruncate bool
+	// controlPath is the path of a file that lists faults: one operation and one error name per line.
+	controlPath string
 }
 
-func newFaultyFolder(faults ...plannedFault) *faultyFolder {
+func newFaultyFolder(faults ...folderFault) *faultyFolder {
 	return &faultyFolder{counts: map[folderOperation]int{}, faults: faults, killAfter: -1}
 }
 
-// controlledFolder takes its faults from a file, so that a test can control another process.
-func controlledFolder(control string) *faultyFolder {
+// newControlledFolder takes its faults from a file, so that a test can control another process.
+func newControlledFolder(controlPath string) *faultyFolder {
 	f := newFaultyFolder()
-	f.control = control
+	f.controlPath = controlPath
 	return f
 }
 
@@ -72,7 +72,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, operation := range operations {
-		f.faults = append(f.faults, plannedFault{operation, f.counts[operation] + 1, forEver, err, written})
+		f.faults = append(f.faults, folderFault{operation, f.counts[operation] + 1, neverEnds, err, written})
 	}
 }
 
@@ -80,7 +80,7 @@
 func (f *faultyFolder) heal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults, f.chance = nil, 0
+	f.faults, f.failureProbability = nil, 0
 }
 
 func (f *faultyFolder) killed() bool { return f.killAfter == 0 }
@@ -90,41 +90,41 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts[operation]++
-	n := f.counts[operation]
-	for _, x := range f.faults {
-		if x.operation == operation && n >= x.first && n <= x.last {
-			return min(x.written, size), x.err
+	count := f.counts[operation]
+	for _, fault := range f.faults {
+		if fault.operation == operation && count >= fault.first && count <= fault.last {
+			return min(fault.written, size), fault.err
 		}
 	}
-	if f.chance > 0 && f.random.Float64() < f.chance {
+	if f.failureProbability > 0 && f.random.Float64() < f.failureProbability {
 		return f.random.IntN(size + 1), syscall.EIO
 	}
-	return size, f.controlled(operation)
+	return size, f.controlledError(operation)
 }
 
 // controlErrors are the errors by their names in a control file.
 var controlErrors = map[string]error{"EIO": syscall.EIO, "ENOSPC": syscall.ENOSPC}
 
-// controlled returns the error that the control file has for an operation.
-func (f *faultyFolder) controlled(operation folderOperation) error {
-	if f.control == "" {
+// controlledError returns the error that the control file has for an operation.
+func (f *faultyFolder) controlledError(operation folderOperation) error {
+	if f.controlPath == "" {
 		return nil
 	}
-	text, err := os.ReadFile(f.control)
+	text, err := os.ReadFile(f.controlPath)
 	if err != nil {
 		return nil
 	}
 	for line := range strings.Lines(string(text)) {
-		name, word, _ := strings.Cut(strings.TrimSpace(line), " ")
+		name, errorName, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if folderOperation(name) == operation {
-			return controlErrors[word]
+			return controlErrors[errorName]
 		}
 	}
 	return nil
 }
 
-// spend returns how many of size bytes are still written before the kill, and counts them.
-func (f *faultyFolder) spend(size int) int {
+// takeKillBudget returns how many of size bytes are still written before the kill, and counts them.
+func (f *faultyFolder) takeKillBudget(size int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.killAfter < 0 {
@@ -201,12 +201,12 @@
 	if err != nil {
 		// A failed write leaves at least one byte unwritten.
 		written = max(min(written, len(text)-1), 0)
-		if keep := f.folder.spend(written); keep > 0 {
+		if keep := f.folder.takeKillBudget(written); keep > 0 {
 			f.file.WriteAt(text[:keep], offset)
 		}
 		return written, &fs.PathError{Op: "write", Path: "log", Err: err}
 	}
-	if keep := f.folder.spend(len(text)); keep > 0 {
+	if keep := f.folder.takeKillBudget(len(text)); keep > 0 {
 		if n, err := f.file.WriteAt(text[:keep], offset); err != nil {
 			return n, err
 		}
@@ -218,7 +218,7 @@
 	if _, err := f.folder.check(opTruncate, 0); err != nil {
 		return &fs.PathError{Op: "truncate", Path: "log", Err: err}
 	}
-	if f.folder.killed() || f.folder.keepsShortWrites {
+	if f.folder.killed() || f.folder.ignoresTruncate {
 		return nil
 	}
 	return f.file.Truncate(size)
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// controlEnv is the environment variable with the path of the file that controls a child's folder faults.
-const controlEnv = "TROUTUSHER_TEST_FOLDER"
+// folderControlEnv is the environment variable with the path of the file that controls a child's folder faults.
+const folderControlEnv = "TROUTUSHER_TEST_FOLDER"
 
 // childFolder returns the faulty state folder for a child process, or nil for the real one.
 func childFolder() logFolder {
-	if control := os.Getenv(controlEnv); control != "" {
-		return controlledFolder(control)
+	if controlPath := os.Getenv(folderControlEnv); controlPath != "" {
+		return newControlledFolder(controlPath)
 	}
 	return nil
 }
@@ -32,17 +32,17 @@
 	path string
 }
 
-func controlFolder(t *testing.T, env map[string]string) *folderControl {
+func newFolderControl(t *testing.T, env map[string]string) *folderControl {
 	c := &folderControl{t, filepath.Join(t.TempDir(), "control")}
-	env[controlEnv] = c.path
+	env[folderControlEnv] = c.path
 	return c
 }
 
-func (c *folderControl) fail(word string, operations ...folderOperation) {
+func (c *folderControl) fail(errorName string, operations ...folderOperation) {
 	c.t.Helper()
 	text := ""
 	for _, operation := range operations {
-		text += string(operation) + " " + word + "\n"
+		text += string(operation) + " " + errorName + "\n"
 	}
 	// The child may read the file at any time, so it is replaced in one step.
 	if err := os.WriteFile(c.path+".new", []byte(text), 0o600); err != nil {
@@ -55,75 +55,75 @@
 
 func (c *folderControl) heal() { c.fail("") }
 
-// lines collects the log output of a child.
-type lines struct {
+// childLog collects the log output of a child.
+type childLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *childLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	os.Stderr.Write(p)
 	return l.text.Write(p)
 }
 
-func (l *lines) count(words string) int {
+func (l *childLog) count(substring string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), words)
+	return strings.Count(l.text.String(), substring)
 }
 
 // startLoggedChild starts a child and collects its log output.
-func startLoggedChild(t *testing.T, env map[string]string) (*child, *lines) {
+func startLoggedChild(t *testing.T, env map[string]string) (*child, *childLog) {
 	t.Helper()
 	c, logged := launchLoggedChild(t, env)
 	c.ready(t)
 	return c, logged
 }
 
-func mustBeBusy(t *testing.T, answer string) {
+func expectBusy(t *testing.T, reply string) {
 	t.Helper()
-	word, ms, _ := strings.Cut(answer, " ")
+	word, ms, _ := strings.Cut(reply, " ")
 	if n, err := strconv.Atoi(ms); word != "-BUSY" || err != nil || n <= 0 {
-		t.Errorf("got reply %q, want -BUSY and a delay", answer)
+		t.Errorf("got reply %q, want -BUSY and a delay", reply)
 	}
 }
 
-func logText(env map[string]string) string {
+func readLogText(env map[string]string) string {
 	text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
 	return string(text)
 }
 
 // While the state folder fails under a running relay, new messages are refused and accepted ones are
 // neither lost nor sent without a record where that is unsafe. A kill follows after the folder works again.
-func TestFolderFailsUnderway(t *testing.T) {
-	for _, x := range []struct {
-		word       string
+func TestFolderFailsWhileRunning(t *testing.T) {
+	for _, test := range []struct {
+		errorName  string
 		operations []folderOperation
 	}{
 		{"ENOSPC", []folderOperation{opWrite}},
-		{"EIO", changesFolder},
+		{"EIO", modifyingOperations},
 	} {
-		t.Run(x.word, func(t *testing.T) {
+		t.Run(test.errorName, func(t *testing.T) {
 			refusing := status(http.StatusServiceUnavailable)
 			safe, unsafe := newFakeEndpoint(t, refusing), newFakeEndpoint(t, refusing)
 			held := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2), held.member("s-3", 3))
 			env := testConfig(t, disc, 3)
 			rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
-			control := controlFolder(t, env)
+			control := newFolderControl(t, env)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
 			for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
 				if s := client.put(id, f, nil); s != "+OK" {
-					t.Fatalf("%s: %s", id, s)
+					t.Fatalf("%s: got reply %q, want +OK", id, s)
 				}
 			}
 			waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
-			control.fail(x.word, x.operations...)
+			control.fail(test.errorName, test.operations...)
 			for i := range 20 {
-				mustBeBusy(t, client.put("refused"+strconv.Itoa(i), fields("plain", 20000, 3), nil))
+				expectBusy(t, client.put("refused"+strconv.Itoa(i), fields("plain", 20000, 3), nil))
 			}
 			before := unsafe.count("unsafe")
 			for _, e := range []*fakeEndpoint{safe, unsafe} {
@@ -137,22 +137,25 @@
 			}
 			delivered := safe.count("safe")
 			control.heal()
-			waitFor(t, "a new message to be accepted", func() bool { return client.put("new", fields("plain", 20000, 3), nil) == "+OK" })
+			waitFor(t, "a new message to be accepted",
+				func() bool { return client.put("new", fields("plain", 20000, 3), nil) == "+OK" })
 			waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
-			waitFor(t, "the end of the unsafe message in the log", func() bool { return strings.Contains(logText(env), `"kind":"end","id":"unsafe"`) })
-			waitFor(t, "the end of the new message in the log", func() bool { return strings.Contains(logText(env), `"kind":"end","id":"new"`) })
+			waitFor(t, "the end of the unsafe message in the log",
+				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"unsafe"`) })
+			waitFor(t, "the end of the new message in the log",
+				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"new"`) })
 			c.kill()
 			if logged.count("state folder: failing") != 1 || logged.count("state folder: works again") != 1 {
 				t.Errorf("failure logged %d times, its end %d times, want 1 each", logged.count("state folder: failing"),
 					logged.count("state folder: works again"))
 			}
-			again := startChild(t, env)
+			next := startChild(t, env)
 			client = dialClient(t, env["ROUTER_LISTEN"])
 			if s := client.put("later", fields("plain", 20000, 3), nil); s != "+OK" {
 				t.Fatal(s)
 			}
 			waitFor(t, "a call by the next process", func() bool { return held.count("later") == 1 })
-			again.kill()
+			next.kill()
 			if n := safe.count("safe"); n != delivered {
 				t.Errorf("the safe message was sent %d times after its delivery, want 0", n-delivered)
 			}
@@ -178,29 +181,30 @@
 
 // The relay is killed just as the folder works again. A message that was delivered meanwhile and is safe
 // to repeat may be delivered again. One that is not safe is neither sent twice nor ended twice.
-func TestKilledAsTheFolderHeals(t *testing.T) {
+func TestKilledAsFolderRecovers(t *testing.T) {
 	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
 	unsafe.then(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
 	disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2))
 	env := testConfig(t, disc, 3)
-	control := controlFolder(t, env)
+	control := newFolderControl(t, env)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "out": fields("once", 20000, 2)} {
 		if s := client.put(id, f, nil); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+			t.Fatalf("%s: got reply %q, want +OK", id, s)
 		}
 	}
 	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("out") == 1 })
-	control.fail("EIO", changesFolder...)
-	mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+	control.fail("EIO", modifyingOperations...)
+	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 	safe.then(nil)
 	sent := safe.count("safe")
 	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
 	control.heal()
 	c.kill()
 	startChild(t, env)
-	waitFor(t, "the notice about the unsafe message", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == endGivenUp })
+	waitFor(t, "the notice about the unsafe message",
+		func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == endGivenUp })
 	if n := unsafe.count("out"); n != 1 {
 		t.Errorf("the unsafe message was sent %d times, want 1", n)
 	}
@@ -214,71 +218,75 @@
 
 // If the state folder is missing at the start, the relay refuses all messages and logs the failure in
 // one line. Once the folder is back it resumes the pending messages.
-func TestStartsWithoutItsFolder(t *testing.T) {
-	ep := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
-	disc := newFakeDiscovery(t, ep.member("s-1", 1))
+func TestStartsWithoutFolder(t *testing.T) {
+	endpoint := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
 	env := testConfig(t, disc, 3)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	if s := client.put("owed", fields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "an attempt", func() bool { return ep.count("owed") > 0 })
+	waitFor(t, "an attempt", func() bool { return endpoint.count("owed") > 0 })
 	c.kill()
-	away := env["ROUTER_STATE"] + ".away"
-	if err := os.Rename(env["ROUTER_STATE"], away); err != nil {
+	movedFolder := env["ROUTER_STATE"] + ".away"
+	if err := os.Rename(env["ROUTER_STATE"], movedFolder); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(env["ROUTER_STATE"], nil, 0o600); err != nil { // a file in place of the folder
 		t.Fatal(err)
 	}
-	before := ep.count("owed")
+	before := endpoint.count("owed")
 	_, logged := startLoggedChild(t, env)
 	client = dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"owed", "new"} {
-		mustBeBusy(t, client.put(id, fields("plain", 20000, 1), nil))
+		expectBusy(t, client.put(id, fields("plain", 20000, 1), nil))
 	}
 	time.Sleep(2 * folderRetry) // further retries log nothing
 	if n := logged.count("state folder: failing"); n != 1 || logged.count("folder="+env["ROUTER_STATE"]) != 1 {
 		t.Errorf("failure of the folder logged %d times, want 1 with its path", n)
 	}
-	if err := errors.Join(os.Remove(env["ROUTER_STATE"]), os.Rename(away, env["ROUTER_STATE"])); err != nil {
+	if err := errors.Join(os.Remove(env["ROUTER_STATE"]), os.Rename(movedFolder, env["ROUTER_STATE"])); err != nil {
 		t.Fatal(err)
 	}
-	ep.then(nil)
-	waitFor(t, "a call of the pending message", func() bool { return ep.count("owed") > before })
-	waitFor(t, "a new message to be accepted", func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-	waitFor(t, "its call", func() bool { return ep.count("new") == 1 })
+	endpoint.then(nil)
+	waitFor(t, "a call of the pending message", func() bool { return endpoint.count("owed") > before })
+	waitFor(t, "a new message to be accepted",
+		func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
+	waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
 	if logged.count("state folder: failing") != 1 || logged.count("state folder: works again") != 1 {
 		t.Error("want one log line for the failure and one for its end")
 	}
-	if n := ep.count("owed") - before; n != 1 {
+	if n := endpoint.count("owed") - before; n != 1 {
 		t.Errorf("the pending message was delivered %d times, want 1", n)
 	}
 }
 
 // A relay that starts while logs cannot be locked, listed, read or written refuses messages until the
 // folder works, and then serves.
-func TestStartsInAFailingFolder(t *testing.T) {
+func TestStartsInFailingFolder(t *testing.T) {
 	for name, operations := range map[string][]folderOperation{
-		"locks": {opLock}, "list": {opList}, "read": {opRead}, "write": changesFolder,
+		"locks": {opLock}, "list": {opList}, "read": {opRead}, "write": modifyingOperations,
 	} {
 		t.Run(name, func(t *testing.T) {
-			ep := newFakeEndpoint(t, nil)
-			disc := newFakeDiscovery(t, ep.member("s-1", 1))
+			endpoint := newFakeEndpoint(t, nil)
+			disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
 			env := testConfig(t, disc, 3)
 			startChild(t, env).kill() // leaves a log behind
-			control := controlFolder(t, env)
+			control := newFolderControl(t, env)
 			control.fail("EIO", operations...)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
-			mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+			expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 			control.heal()
-			waitFor(t, "a new message to be accepted", func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-			waitFor(t, "its call", func() bool { return ep.count("new") == 1 })
-			waitFor(t, "the end of the failure in the log", func() bool { return logged.count("state folder: works again") == 1 })
-			if logged.count("state folder: failing") != 1 || ep.count("refused") != 0 {
-				t.Errorf("failure logged %d times, want 1; refused message sent %d times, want 0", logged.count("state folder: failing"), ep.count("refused"))
+			waitFor(t, "a new message to be accepted",
+				func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
+			waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
+			waitFor(t, "the end of the failure in the log",
+				func() bool { return logged.count("state folder: works again") == 1 })
+			if logged.count("state folder: failing") != 1 || endpoint.count("refused") != 0 {
+				t.Errorf("failure logged %d times, want 1; refused message sent %d times, want 0",
+					logged.count("state folder: failing"), endpoint.count("refused"))
 			}
 			c.cmd.Process.Signal(syscall.SIGTERM)
 			if err := c.cmd.Wait(); err != nil {
@@ -289,7 +297,7 @@
 }
 
 // A relay that receives SIGTERM before its folder ever worked exits without an error.
-func TestEndsWithoutItsFolder(t *testing.T) {
+func TestStopsWithoutFolder(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	if err := os.Remove(env["ROUTER_STATE"]); err != nil {
 		t.Fatal(err)
@@ -303,13 +311,14 @@
 
 // During an upgrade while records are postponed, the predecessor's log is incomplete, so it must not be handed over.
 // The successor serves beside the predecessor, and adopts its log once the predecessor has ended.
-func TestUpgradeWhileTheFolderFails(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)), newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+func TestUpgradeWhileFolderFails(t *testing.T) {
+	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)),
+		newFakeEndpoint(t, status(http.StatusServiceUnavailable))
 	s := newSite(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
 	rewrite(t, s.env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
-	control := controlFolder(t, s.env)
-	start := func() (*child, *lines) {
-		logged := &lines{}
+	control := newFolderControl(t, s.env)
+	start := func() (*child, *childLog) {
+		logged := &childLog{}
 		c := &child{cmd: exec.Command(os.Args[0]), env: s.env}
 		c.cmd.ExtraFiles, c.cmd.Env, c.cmd.Stderr = []*os.File{s.socket}, []string{"ROUTER_SOCKET_FD=3"}, logged
 		c.launch(t)
@@ -319,31 +328,32 @@
 	old.ready(t)
 	client := dialClient(t, s.env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
-		if answer := client.put(id, f, nil); answer != "+OK" {
-			t.Fatalf("%s: %s", id, answer)
+		if reply := client.put(id, f, nil); reply != "+OK" {
+			t.Fatalf("%s: got reply %q, want +OK", id, reply)
 		}
 	}
 	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
-	control.fail("EIO", changesFolder...)
-	mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+	control.fail("EIO", modifyingOperations...)
+	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 	safe.then(nil)
 	sent := safe.count("safe")
 	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
 	delivered := safe.count("safe")
 	_, logged := start()
-	waitFor(t, "the hand-over to be refused", func() bool { return logged.count("the old process does not hand over") == 1 })
+	waitFor(t, "the hand-over to be refused",
+		func() bool { return logged.count("the old process does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
 	before := unsafe.count("unsafe")
 	unsafe.then(nil)
 	control.heal()
-	for _, l := range []*lines{oldLogged, logged} {
+	for _, l := range []*childLog{oldLogged, logged} {
 		waitFor(t, "the folder to work again", func() bool { return l.count("state folder: works again") == 1 })
 	}
 	waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
 	old.kill()
 	client = dialClient(t, s.env["ROUTER_LISTEN"])
-	if answer := client.put("later", fields("plain", 20000, 1), nil); answer != "+OK" {
-		t.Fatal(answer)
+	if reply := client.put("later", fields("plain", 20000, 1), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
 	waitFor(t, "a call by the new process", func() bool { return safe.count("later") == 1 })
 	left := filepath.Join(s.env["ROUTER_STATE"], walFileName)
--- a/internal/relay/fuzz_log_test.go
+++ b/internal/relay/fuzz_log_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	fuzzLogLimit = 1 << 20
-	escapeMost   = 6    // bytes that JSON encoding may make of one byte of a string
-	namesMost    = 1024 // more than the names of all fields of a record
+	fuzzLogLimitBytes  = 1 << 20
+	maxJSONExpansion   = 6    // bytes that JSON encoding may make of one byte of a string
+	maxFieldNamesBytes = 1024 // more than the names of all fields of a record
 )
 
-// fuzzLog returns a log without a file, as recovery uses it to replay one.
-func fuzzLog() *wal {
-	w := newWAL(fuzzLogLimit, clock.System(), quietLog())
+// newFuzzWAL returns a log without a file, as recovery uses it to replay one.
+func newFuzzWAL() *wal {
+	w := newWAL(fuzzLogLimitBytes, clock.System(), quietLog())
 	w.replaying = true
 	return w
 }
@@ -36,17 +36,22 @@
 		}
 		return text
 	}
-	sound := encoded(taken("seed-1", "body\n"), &record{Kind: recordAttempt, ID: "seed-1", ZoneName: "a"},
-		&record{Kind: recordOutcome, ID: "seed-1", MayHaveRun: true}, &record{Kind: recordEnding, ID: "seed-1", Notice: endHandedBack, RetryMS: 20})
-	damaged := bytes.Clone(sound)
+	valid := encoded(acceptedRecord("seed-1", "body\n"), &record{Kind: recordAttempt, ID: "seed-1", ZoneName: "a"},
+		&record{Kind: recordOutcome, ID: "seed-1", MayHaveRun: true},
+		&record{Kind: recordEnding, ID: "seed-1", Notice: endHandedBack, RetryMS: 20})
+	damaged := bytes.Clone(valid)
 	damaged[recordHeaderBytes+3] ^= 1
 	return [][]byte{
-		sound, damaged, sound[:len(sound)-1], nil,
-		encoded(&record{Kind: recordEnd, ID: "nobody"}, &record{Kind: recordOutage, ID: "endpoint"}, &record{Kind: recordEndedID, ID: "over"}),
-		encoded(newClockRecord(clock.Reading{Boot: "a", Now: 5e6, Wall: 1.7e15}), taken("seed-1", "x"), newClockRecord(clock.Reading{Boot: "b", Now: 1, Wall: 1.7e15}),
-			taken("seed-3", "y"), newClockRecord(clock.Reading{Now: -1}), &record{Kind: recordClock, ID: clockRecordID}),
+		valid, damaged, valid[:len(valid)-1], nil,
+		encoded(&record{Kind: recordEnd, ID: "nobody"}, &record{Kind: recordOutage, ID: "endpoint"},
+			&record{Kind: recordEndedID, ID: "over"}),
+		encoded(newClockRecord(clock.Reading{Boot: "a", Now: 5e6, Wall: 1.7e15}), acceptedRecord("seed-1", "x"),
+			newClockRecord(clock.Reading{Boot: "b", Now: 1, Wall: 1.7e15}),
+			acceptedRecord("seed-3", "y"), newClockRecord(clock.Reading{Now: -1}),
+			&record{Kind: recordClock, ID: clockRecordID}),
 		encoded(&record{Kind: "other", ID: "seed-2"}),
-		[]byte(recordMarker), []byte(recordMarker + "\xff\xff\xff\xff\x00\x00\x00\x00"), []byte(recordMarker + recordMarker + recordMarker),
+		[]byte(recordMarker), []byte(recordMarker + "\xff\xff\xff\xff\x00\x00\x00\x00"),
+		[]byte(recordMarker + recordMarker + recordMarker),
 	}
 }
 
@@ -64,10 +69,10 @@
 	if !bytes.Equal(decoded.body, rec.body) {
 		t.Errorf("body %.100q decoded as %.100q", rec.body, decoded.body)
 	}
-	was, is := *rec, *decoded
-	was.body, is.body = nil, nil
-	if !reflect.DeepEqual(was, is) {
-		t.Errorf("record\n%+v decoded as\n%+v", was, is)
+	want, got := *rec, *decoded
+	want.body, got.body = nil, nil
+	if !reflect.DeepEqual(want, got) {
+		t.Errorf("record\n%+v decoded as\n%+v", want, got)
 	}
 	again, err := decoded.encode(nil)
 	if err != nil || !bytes.Equal(text, again) {
@@ -97,7 +102,7 @@
 		if len(payload) > maxRecordBytes {
 			return
 		}
-		text := frameOf(payload)
+		text := framePayload(payload)
 		rec, size := decodeRecord(text)
 		if rec == nil {
 			if size != 0 {
@@ -112,7 +117,7 @@
 			t.Errorf("body %.100q decoded as %.100q", body, rec.body)
 		}
 		if _, err := rec.encode(nil); err != nil {
-			if escapeMost*len(payload)+namesMost < maxRecordBytes {
+			if maxJSONExpansion*len(payload)+maxFieldNamesBytes < maxRecordBytes {
 				t.Errorf("record of %d bytes cannot be encoded again: %v", size, err)
 			}
 			return // the payload was shorter than its own encoding
@@ -126,8 +131,8 @@
 	})
 }
 
-// frameOf returns a payload in a frame with its length and checksum.
-func frameOf(payload []byte) []byte {
+// framePayload returns a payload in a frame with its length and checksum.
+func framePayload(payload []byte) []byte {
 	text := append([]byte(recordMarker), 0, 0, 0, 0, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(text[4:], uint32(len(payload)))
 	binary.BigEndian.PutUint32(text[8:], crc32.ChecksumIEEE(payload))
@@ -140,17 +145,17 @@
 		f.Add(text, uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, damage []byte, count uint8) {
-		const before, behind = "recover-before-%d", "recover-behind-%d"
-		each := int(count % 8)
+		const before, after = "recover-before-%d", "recover-behind-%d"
+		perSide := int(count % 8)
 		var text []byte
-		text = appendTaken(t, text, before, each)
+		text = appendAccepted(t, text, before, perSide)
 		text = append(text, damage...)
-		text = appendTaken(t, text, behind, each)
-		log := fuzzLog()
+		text = appendAccepted(t, text, after, perSide)
+		log := newFuzzWAL()
 		log.replay(text)
-		for _, name := range []string{before, behind} {
+		for _, name := range []string{before, after} {
 			last := 0
-			for i := range each {
+			for i := range perSide {
 				found := log.pending[fmt.Sprintf(name, i)]
 				if found == nil {
 					t.Fatalf("%s is lost", fmt.Sprintf(name, i))
@@ -161,25 +166,25 @@
 				last = found.seq
 			}
 		}
-		checkOwedBytes(t, log)
+		checkReservedBytes(t, log)
 	})
 }
 
-// appendTaken appends encoded records that accept messages; a format makes the id, which is the body too.
-func appendTaken(t *testing.T, text []byte, format string, count int) []byte {
+// appendAccepted appends encoded records that accept messages; a format makes the id, which is the body too.
+func appendAccepted(t *testing.T, text []byte, format string, count int) []byte {
 	t.Helper()
 	for i := range count {
 		id := fmt.Sprintf(format, i)
 		var err error
-		if text, err = taken(id, id).encode(text); err != nil {
+		if text, err = acceptedRecord(id, id).encode(text); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return text
 }
 
-// checkOwedBytes checks that the reserved bytes of the log are the sum over its records.
-func checkOwedBytes(t *testing.T, log *wal) {
+// checkReservedBytes checks that the reserved bytes of the log are the sum over its records.
+func checkReservedBytes(t *testing.T, log *wal) {
 	t.Helper()
 	sum := int64(0)
 	for _, records := range []map[string]*liveRecord{log.pending, log.outagesByEndpoint, log.endedByID} {
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -21,65 +21,67 @@
 // openFaultyWAL opens the log in a folder as a new process does, after any earlier one has ended.
 func openFaultyWAL(t testing.TB, dir string, folder logFolder, limit int64, log *slog.Logger) (*wal, []*record) {
 	t.Helper()
-	held, err := lockLogSlots(folder, dir)
+	slots, err := lockLogSlots(folder, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, owed, err := openWAL(held, limit, func(string) bool { return false }, clock.System(), log)
+	w, pending, err := openWAL(slots, limit, func(string) bool { return false }, clock.System(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { endFaultyWAL(w) })
-	return w, owed
+	t.Cleanup(func() { closeFaultyWAL(w) })
+	return w, pending
 }
 
-// endFaultyWAL closes the log and releases its slots, as the end of a process does.
-func endFaultyWAL(w *wal) {
+// closeFaultyWAL closes the log and releases its slots, as the end of a process does.
+func closeFaultyWAL(w *wal) {
 	w.close()
 	w.slots.release()
 }
 
-// classed returns a record that accepts a message of a class with the given repeat rule.
-func classed(id string, repeat decide.Repeat) *record {
+// acceptedWithRepeat returns a record that accepts a message of a class with the given repeat rule.
+func acceptedWithRepeat(id string, repeat decide.Repeat) *record {
 	return &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: 4e15, MaxAttempts: 8, body: []byte("body of " + id),
 		Rules: &decide.Class{Name: "c", Repeat: repeat, Deadline: 20e6, DedupWindow: 5e6}}
 }
 
-// recovered returns the messages that a start from a copy of the folder recovers, by id.
-func recovered(t testing.TB, dir string) map[string]*record {
+// recoverCopy returns the messages that a start from a copy of the folder recovers, by id.
+func recoverCopy(t testing.TB, dir string) map[string]*record {
 	t.Helper()
-	other, err := os.MkdirTemp(t.TempDir(), "copy")
+	copyDir, err := os.MkdirTemp(t.TempDir(), "copy")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.CopyFS(filepath.Join(other, "state"), os.DirFS(dir)); err != nil {
+	if err := os.CopyFS(filepath.Join(copyDir, "state"), os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	w, owed := openFaultyWAL(t, filepath.Join(other, "state"), osFolder{}, 1<<20, quietLog())
-	endFaultyWAL(w)
+	w, pending := openFaultyWAL(t, filepath.Join(copyDir, "state"), osFolder{}, 1<<20, quietLog())
+	closeFaultyWAL(w)
 	found := map[string]*record{}
-	for _, r := range owed {
+	for _, r := range pending {
 		found[r.ID] = r
 	}
 	return found
 }
 
-func recoveredIDs(t testing.TB, dir string) []string {
+func recoverCopyIDs(t testing.TB, dir string) []string {
 	t.Helper()
 	var ids []string
-	for id := range recovered(t, dir) {
+	for id := range recoverCopy(t, dir) {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-func countLines(b *bytes.Buffer, words string) int { return strings.Count(b.String(), words) }
+func countLines(log *bytes.Buffer, substring string) int {
+	return strings.Count(log.String(), substring)
+}
 
 // A message whose record fails at any byte is refused, is not in the log after a kill, and does not
 // make later records unreadable.
 func TestAppendFailsAtEachByte(t *testing.T) {
-	text, err := classed("b", decide.Safe).encode(nil)
+	text, err := acceptedWithRepeat("b", decide.Safe).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,18 +89,18 @@
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, classed("a", decide.Safe))
+		mustAppend(t, w, acceptedWithRepeat("a", decide.Safe))
 		folder.fail(syscall.ENOSPC, written, opWrite, opTruncate)
-		if err := w.append(classed("b", decide.Safe), false); !errors.Is(err, syscall.ENOSPC) {
+		if err := w.append(acceptedWithRepeat("b", decide.Safe), false); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("%d bytes written: got error %v, want ENOSPC", written, err)
 		}
-		if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a"}) {
+		if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
 			t.Fatalf("%d bytes written, then killed: recovered %q, want a", written, got)
 		}
 		folder.heal()
 		w.retryWrites()
-		mustAppend(t, w, classed("c", decide.Safe))
-		if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a", "c"}) {
+		mustAppend(t, w, acceptedWithRepeat("c", decide.Safe))
+		if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a", "c"}) {
 			t.Fatalf("%d bytes written, then healed: recovered %q, want a and c", written, got)
 		}
 		if size, err := (osFolder{}).Size(w.path); err != nil || size != w.size {
@@ -109,37 +111,42 @@
 
 // While nothing can be written, outcomes and ends are kept. They are in the log once the folder works again.
 func TestOutcomesAreWrittenLater(t *testing.T) {
-	for _, operations := range [][]folderOperation{{opWrite}, {opWrite, opOpen}, {opWrite, opTruncate}, {opWrite, opRename}, changesFolder} {
+	for _, operations := range [][]folderOperation{{opWrite}, {opWrite, opOpen}, {opWrite, opTruncate},
+		{opWrite, opRename}, modifyingOperations} {
 		t.Run(fmt.Sprint(operations), func(t *testing.T) {
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-			mustAppend(t, w, classed("safe", decide.Safe), classed("unsafe", decide.Unsafe), classed("ended", decide.Unsafe),
-				classed("done", decide.Unsafe), &record{Kind: recordAttempt, ID: "done", At: 10}, &record{Kind: recordAttempt, ID: "unsafe", At: 20})
+			mustAppend(t, w, acceptedWithRepeat("safe", decide.Safe), acceptedWithRepeat("unsafe", decide.Unsafe),
+				acceptedWithRepeat("ended", decide.Unsafe),
+				acceptedWithRepeat("done", decide.Unsafe), &record{Kind: recordAttempt, ID: "done", At: 10},
+				&record{Kind: recordAttempt, ID: "unsafe", At: 20})
 			folder.fail(syscall.EIO, 3, operations...)
-			if err := w.append(classed("new", decide.Safe), false); err == nil {
+			if err := w.append(acceptedWithRepeat("new", decide.Safe), false); err == nil {
 				t.Fatal("a new message was accepted")
 			}
 			mustAppend(t, w, &record{Kind: recordEnd, ID: "done", MayHaveRun: true}, &record{Kind: recordOutcome, ID: "unsafe"},
 				&record{Kind: recordAttempt, ID: "safe", At: 30}, &record{Kind: recordOutcome, ID: "safe", MayHaveRun: true})
-			told := false
-			w.perform(walOp{rec: &record{Kind: recordEnding, ID: "ended", Notice: endHandedBack, RetryMS: 7}, onDone: func(error) { told = true }})
-			if told {
+			notified := false
+			w.perform(walOp{rec: &record{Kind: recordEnding, ID: "ended", Notice: endHandedBack, RetryMS: 7},
+				onDone: func(error) { notified = true }})
+			if notified {
 				t.Error("the notice was sent before its record was written")
 			}
 			w.retryWrites()
-			if !w.health.failing || told {
+			if !w.health.failing || notified {
 				t.Fatal("the log counts as working, or the notice was sent, while the folder fails")
 			}
-			if found := recovered(t, dir); len(found) != 4 || found["unsafe"].InDoubtSince != 20 || found["ended"].Notice != "" {
+			if found := recoverCopy(t, dir); len(found) != 4 || found["unsafe"].InDoubtSince != 20 ||
+				found["ended"].Notice != "" {
 				t.Errorf("killed meanwhile: recovered %d messages, want 4 in their old state", len(found))
 			}
 			folder.heal()
 			w.retryWrites()
-			if w.health.failing || !told {
+			if w.health.failing || !notified {
 				t.Fatal("the log counts as failing, or the notice was not sent, after the folder works again")
 			}
-			found := recovered(t, dir)
+			found := recoverCopy(t, dir)
 			if len(found) != 3 || found["done"] != nil {
 				t.Fatalf("recovered %d messages, want 3 without \"done\"", len(found))
 			}
@@ -152,7 +159,7 @@
 			if r := found["ended"]; r.Notice != endHandedBack || r.RetryMS != 7 {
 				t.Errorf("ended: recovered %+v", r)
 			}
-			if err := w.append(classed("new", decide.Safe), false); err != nil {
+			if err := w.append(acceptedWithRepeat("new", decide.Safe), false); err != nil {
 				t.Error(err)
 			}
 		})
@@ -163,20 +170,20 @@
 func TestAttemptsWithoutRecord(t *testing.T) {
 	const sent = clock.Instant(1e15)
 	keyed := func(left int64) *record {
-		r := classed("m", decide.Keyed)
+		r := acceptedWithRepeat("m", decide.Keyed)
 		r.Deadline = sent + clock.Instant(left)
 		return r
 	}
 	local := keyed(1e6)
 	local.Rules.ZoneOnly = true
-	unknown := classed("m", decide.Safe)
+	unknown := acceptedWithRepeat("m", decide.Safe)
 	unknown.Rules = nil
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		message *record
-		may     bool
+		allowed bool
 	}{
-		"safe":                              {classed("m", decide.Safe), true},
-		"unsafe":                            {classed("m", decide.Unsafe), false},
+		"safe":                              {acceptedWithRepeat("m", decide.Safe), true},
+		"unsafe":                            {acceptedWithRepeat("m", decide.Unsafe), false},
 		"keyed, deadline within its window": {keyed(5e6), true},
 		"keyed, deadline after its window":  {keyed(5e6 + 1), false},
 		"keyed, window within one zone":     {local, false},
@@ -185,11 +192,11 @@
 		t.Run(name, func(t *testing.T) {
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
-			mustAppend(t, w, x.message)
-			folder.fail(syscall.EIO, 0, changesFolder...)
+			mustAppend(t, w, test.message)
+			folder.fail(syscall.EIO, 0, modifyingOperations...)
 			for range 2 { // the first append detects the failure
 				err := w.append(&record{Kind: recordAttempt, ID: "m", At: sent}, false)
-				if (err == nil) != x.may {
+				if (err == nil) != test.allowed {
 					t.Errorf("append of the attempt: got error %v", err)
 				}
 			}
@@ -199,18 +206,18 @@
 
 // If the record of an ending cannot be written, its notice is sent at the message's deadline: after that no later
 // process would send the message.
-func TestEndIsToldInTime(t *testing.T) {
+func TestNoticeIsSentAtDeadline(t *testing.T) {
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
-	m := classed("m", decide.Safe)
+	m := acceptedWithRepeat("m", decide.Safe)
 	m.Deadline = clock.System().Now().Add(30 * time.Millisecond)
 	mustAppend(t, w, m)
-	folder.fail(syscall.EIO, 0, changesFolder...)
-	told := make(chan error, 2)
+	folder.fail(syscall.EIO, 0, modifyingOperations...)
+	results := make(chan error, 2)
 	w.start()
 	defer w.halt()
-	w.submit(&record{Kind: recordEnding, ID: "m", Notice: endHandedBack}, func(err error) { told <- err })
-	<-told
+	w.submit(&record{Kind: recordEnding, ID: "m", Notice: endHandedBack}, func(err error) { results <- err })
+	<-results
 	if clock.System().Now() < m.Deadline {
 		t.Error("the notice was sent before the deadline")
 	}
@@ -219,7 +226,7 @@
 		text, _ := os.ReadFile(w.path)
 		return strings.Contains(string(text), endHandedBack)
 	})
-	if len(told) > 0 {
+	if len(results) > 0 {
 		t.Error("the notice was sent twice")
 	}
 }
@@ -230,10 +237,10 @@
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, slog.New(slog.NewTextHandler(&lines, nil)))
 	for round := 1; round <= 2; round++ {
-		mustAppend(t, w, classed(fmt.Sprint("m", round), decide.Safe))
+		mustAppend(t, w, acceptedWithRepeat(fmt.Sprint("m", round), decide.Safe))
 		folder.fail(syscall.ENOSPC, 5, opWrite)
 		for i := range 50 {
-			w.perform(walOp{rec: classed(fmt.Sprint("n", i), decide.Safe)})
+			w.perform(walOp{rec: acceptedWithRepeat(fmt.Sprint("n", i), decide.Safe)})
 			w.perform(walOp{rec: &record{Kind: recordAttempt, ID: fmt.Sprint("m", round), At: 1}})
 			w.retryWrites()
 		}
@@ -258,17 +265,18 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 4<<20, slog.New(slog.NewTextHandler(&lines, nil)))
-			mustAppend(t, w, classed("a", decide.Safe))
+			mustAppend(t, w, acceptedWithRepeat("a", decide.Safe))
 			folder.fail(syscall.ENOSPC, 0, operation)
-			big := classed("big", decide.Safe)
+			big := acceptedWithRepeat("big", decide.Safe)
 			big.body = bytes.Repeat([]byte("b"), 60<<10)
 			for range 40 { // the log exceeds the size at which it is compacted
 				mustAppend(t, w, big, &record{Kind: recordEnd, ID: "big"})
 			}
 			if w.health.failing || !w.health.compactionFailed || w.size < minCompactionBytes {
-				t.Fatalf("got failing %v, compaction failed %v, %d bytes; want a failed compaction only", w.health.failing, w.health.compactionFailed, w.size)
+				t.Fatalf("got failing %v, compaction failed %v, %d bytes; want a failed compaction only", w.health.failing,
+					w.health.compactionFailed, w.size)
 			}
-			if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a"}) {
+			if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
 				t.Errorf("recovered %q, want a", got)
 			}
 			folder.heal()
@@ -276,7 +284,7 @@
 			if w.size > minCompactionBytes || w.health.compactionFailed {
 				t.Errorf("log has %d bytes and is not compacted", w.size)
 			}
-			if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a"}) {
+			if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
 				t.Errorf("recovered %q after the compaction, want a", got)
 			}
 			if countLines(&lines, "state folder: failing") != 1 || countLines(&lines, "state folder: works again") != 1 {
@@ -287,18 +295,19 @@
 }
 
 // A kill at any byte of a compaction leaves the old log or the new one, with the same state in both.
-func TestKilledInCompaction(t *testing.T) {
+func TestKilledDuringCompaction(t *testing.T) {
 	for killAfter := 0; ; killAfter += 7 {
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, classed("a", decide.Unsafe), classed("b", decide.Safe), &record{Kind: recordAttempt, ID: "a", At: 5},
-			classed("c", decide.Safe), &record{Kind: recordEnd, ID: "c"})
+		mustAppend(t, w, acceptedWithRepeat("a", decide.Unsafe), acceptedWithRepeat("b", decide.Safe),
+			&record{Kind: recordAttempt, ID: "a", At: 5},
+			acceptedWithRepeat("c", decide.Safe), &record{Kind: recordEnd, ID: "c"})
 		folder.killAfter = killAfter
 		if err := w.compact(); err != nil {
 			t.Fatal(err)
 		}
-		found := recovered(t, dir)
+		found := recoverCopy(t, dir)
 		if len(found) != 2 || found["a"].InDoubtSince != 5 || found["b"].Attempts != 0 {
 			t.Fatalf("killed after %d bytes: recovered %d messages, want 2 in their old state", killAfter, len(found))
 		}
@@ -312,7 +321,7 @@
 // with its last byte.
 func TestKilledAtEachByte(t *testing.T) {
 	for _, last := range []*record{
-		classed("b", decide.Unsafe),
+		acceptedWithRepeat("b", decide.Unsafe),
 		{Kind: recordAttempt, ID: "a", At: 30, ZoneName: "f"},
 		{Kind: recordOutcome, ID: "a", MayHaveRun: true},
 		{Kind: recordEnding, ID: "a", Notice: endHandedBack, RetryMS: 7},
@@ -327,11 +336,12 @@
 				dir := t.TempDir()
 				folder := newFaultyFolder()
 				w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-				mustAppend(t, w, classed("a", decide.Unsafe), &record{Kind: recordAttempt, ID: "a", At: 10}, &record{Kind: recordOutcome, ID: "a"})
+				mustAppend(t, w, acceptedWithRepeat("a", decide.Unsafe), &record{Kind: recordAttempt, ID: "a", At: 10},
+					&record{Kind: recordOutcome, ID: "a"})
 				folder.killAfter = killAfter
 				mustAppend(t, w, last)
 				found := ""
-				for id, r := range recovered(t, dir) {
+				for id, r := range recoverCopy(t, dir) {
 					found += fmt.Sprint(id, r.Attempts, r.InDoubtSince, r.Notice, " ")
 				}
 				return strings.Join(slices.Sorted(slices.Values(strings.Fields(found))), " ")
@@ -350,10 +360,10 @@
 }
 
 // Two logs are recovered even if nothing can be written at the start. Both stay until one log holds their contents.
-func TestStartsInAFolderThatCannotBeWritten(t *testing.T) {
+func TestStartsInUnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{walFileName, walFileName + ".0.1"} {
-		text, err := classed("of "+name, decide.Unsafe).encode(nil)
+		text, err := acceptedWithRepeat("of "+name, decide.Unsafe).encode(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -362,18 +372,19 @@
 		}
 	}
 	folder := newFaultyFolder()
-	folder.fail(syscall.EROFS, 0, changesFolder...)
-	w, owed := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-	if len(owed) != 2 || !w.health.failing || w.complete() {
-		t.Fatalf("recovered %d messages, want 2; failing %v, want true; the log must not be complete", len(owed), w.health.failing)
-	}
-	mustAppend(t, w, &record{Kind: recordEnd, ID: owed[0].ID})
-	if got := recoveredIDs(t, dir); len(got) != 2 {
+	folder.fail(syscall.EROFS, 0, modifyingOperations...)
+	w, pending := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+	if len(pending) != 2 || !w.health.failing || w.complete() {
+		t.Fatalf("recovered %d messages, want 2; failing %v, want true; the log must not be complete", len(pending),
+			w.health.failing)
+	}
+	mustAppend(t, w, &record{Kind: recordEnd, ID: pending[0].ID})
+	if got := recoverCopyIDs(t, dir); len(got) != 2 {
 		t.Fatalf("killed: recovered %q, want both messages", got)
 	}
 	folder.heal()
 	w.retryWrites()
-	if got := recoveredIDs(t, dir); !slices.Equal(got, []string{owed[1].ID}) || !w.complete() {
+	if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{pending[1].ID}) || !w.complete() {
 		t.Fatalf("healed: recovered %q, want the message that has not ended, in a complete log", got)
 	}
 	if _, err := os.Stat(filepath.Join(dir, walFileName+".0.1")); err == nil {
@@ -382,16 +393,16 @@
 }
 
 // The log of an ended process is removed only once its messages are written to this log.
-func TestAdoptsWhileTheFolderFails(t *testing.T) {
+func TestAdoptsWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-	left := filepath.Join(dir, walFileName+".1.0")
-	text, err := classed("left", decide.Unsafe).encode(nil)
+	leftPath := filepath.Join(dir, walFileName+".1.0")
+	text, err := acceptedWithRepeat("left", decide.Unsafe).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(left, text, 0o600); err != nil {
+	if err := os.WriteFile(leftPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	lock, err := folder.Lock(filepath.Join(dir, lockFilePrefix+"1"))
@@ -403,26 +414,26 @@
 		t.Fatal("adopting an unreadable log succeeded")
 	}
 	folder.heal()
-	folder.fail(syscall.EIO, 0, changesFolder...)
-	owed := 0
-	if err := w.adoptSlot(1, lock, func(found []*record) { owed = len(found) }); err != nil {
+	folder.fail(syscall.EIO, 0, modifyingOperations...)
+	adopted := 0
+	if err := w.adoptSlot(1, lock, func(found []*record) { adopted = len(found) }); err != nil {
 		t.Fatal(err)
 	}
 	for _, op := range w.queue.takeAll(nil) {
 		op.action()
 	}
-	if owed != 1 || w.pending["left"] == nil {
-		t.Fatalf("adopted %d messages, want 1", owed)
+	if adopted != 1 || w.pending["left"] == nil {
+		t.Fatalf("adopted %d messages, want 1", adopted)
 	}
 	folder.heal()
-	if _, err := os.Stat(left); err != nil {
+	if _, err := os.Stat(leftPath); err != nil {
 		t.Fatal("the log was removed before its messages were written elsewhere")
 	}
 	w.retryWrites()
-	if _, err := os.Stat(left); err == nil {
+	if _, err := os.Stat(leftPath); err == nil {
 		t.Error("the adopted log was not removed")
 	}
-	if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"left"}) {
+	if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"left"}) {
 		t.Errorf("recovered %q, want left", got)
 	}
 }
@@ -432,21 +443,21 @@
 	for seed := range uint64(40) {
 		dir := t.TempDir()
 		folder := newFaultyFolder()
-		folder.random, folder.chance = rand.New(rand.NewPCG(seed, 1)), 0.3
+		folder.random, folder.failureProbability = rand.New(rand.NewPCG(seed, 1)), 0.3
 		var w *wal
 		for w == nil { // the start may fail too
-			held, err := lockLogSlots(folder, dir)
+			slots, err := lockLogSlots(folder, dir)
 			if err != nil {
 				continue
 			}
-			if w, _, err = openWAL(held, 1<<20, func(string) bool { return false }, clock.System(), quietLog()); err != nil {
-				held.release()
+			if w, _, err = openWAL(slots, 1<<20, func(string) bool { return false }, clock.System(), quietLog()); err != nil {
+				slots.release()
 			}
 		}
 		want := map[string]bool{}
 		for i := range 60 {
 			id := fmt.Sprint("m", i)
-			if w.append(classed(id, decide.Safe), false) == nil {
+			if w.append(acceptedWithRepeat(id, decide.Safe), false) == nil {
 				want[id] = true
 			}
 			if folder.random.IntN(3) == 0 {
@@ -455,7 +466,7 @@
 			if len(w.health.postponed) > 0 {
 				continue
 			}
-			found := recovered(t, dir)
+			found := recoverCopy(t, dir)
 			for id := range want {
 				if found[id] == nil {
 					t.Fatalf("seed %d: %s was accepted and is lost", seed, id)
@@ -467,13 +478,13 @@
 				}
 			}
 		}
-		endFaultyWAL(w)
+		closeFaultyWAL(w)
 	}
 }
 
 // A log whose file could not be opened must not be handed over to a new process, even if no record is
 // postponed. Once the folder works it may be.
-func TestLogWithoutAFileIsNotWhole(t *testing.T) {
+func TestLogWithoutFileIsNotComplete(t *testing.T) {
 	folder := newFaultyFolder()
 	folder.fail(syscall.EIO, 0, opOpen)
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -21,8 +21,8 @@
 // real one does. The reference model sees only what clients, endpoints and the platform see.
 
 const (
-	modelWindow = 2e6 // deduplication window of the keyed class
-	modelDisk   = 1 << 20
+	modelDedupWindowMicros = 2e6 // deduplication window of the keyed class
+	modelDiskBytes         = 1 << 20
 )
 
 // modelStart is the clock reading at the start of each history.
@@ -59,236 +59,238 @@
 
 // modelStep is one step. Each kind uses only the fields it needs.
 type modelStep struct {
-	Kind   stepKind
-	Which  int // selects one of the messages that the step can apply to
-	Repeat decide.Repeat
-	Micros int64
-	Bytes  int  // length of a body, or how many bytes of a failing write reach the file
-	Kill   bool // kill the process in this step, once Bytes are written
+	Kind         stepKind
+	MessageIndex int // selects one of the messages that the step can apply to
+	Repeat       decide.Repeat
+	Micros       int64
+	Bytes        int  // length of a body, or how many bytes of a failing write reach the file
+	Kill         bool // kill the process in this step, once Bytes are written
 }
 
 // modelHistories generates histories.
 var modelHistories = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) modelStep {
 	return modelStep{
-		Kind:   rapid.SampledFrom(drawnSteps).Draw(t, "kind"),
-		Which:  rapid.IntRange(0, 7).Draw(t, "which"),
-		Repeat: rapid.SampledFrom([]decide.Repeat{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "repeat"),
-		Micros: rapid.Int64Range(1, 4e6).Draw(t, "micros"),
-		Bytes:  rapid.IntRange(0, 400).Draw(t, "bytes"),
-		Kill:   rapid.IntRange(0, 9).Draw(t, "kill") == 0,
+		Kind:         rapid.SampledFrom(drawnSteps).Draw(t, "kind"),
+		MessageIndex: rapid.IntRange(0, 7).Draw(t, "which"),
+		Repeat:       rapid.SampledFrom([]decide.Repeat{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "repeat"),
+		Micros:       rapid.Int64Range(1, 4e6).Draw(t, "micros"),
+		Bytes:        rapid.IntRange(0, 400).Draw(t, "bytes"),
+		Kill:         rapid.IntRange(0, 9).Draw(t, "kill") == 0,
 	}
 }), 10, 60)
 
 // modelBug is a bug put into the small relay or its log, to show that the model detects it.
-type breakage string
+type modelBug string
 
 const (
-	breaksNothing         breakage = "nothing"
-	breaksAnswerFirst     breakage = "replies before the record is written"
-	breaksForgetAttempt   breakage = "sends attempts without a record"
-	breaksUnsafeUnlogged  breakage = "sends an unsafe message although its record failed"
-	breaksForgetEnd       breakage = "does not write ends"
-	breaksForgetEnding    breakage = "sends a notice before it is written"
-	breaksShortWrite      breakage = "does not truncate partial writes"
-	breaksPostponed       breakage = "forgets postponed records"
-	breaksDoubt           breakage = "sends again what may have run before a restart"
-	breaksWindow          breakage = "sends a keyed message again after its window"
-	breaksWord            breakage = "sends another notice after a restart"
-	breaksEarlyCompaction breakage = "empties the old log before a compaction"
+	bugNone                     modelBug = "nothing"
+	bugReplyBeforeRecord        modelBug = "replies before the record is written"
+	bugNoAttemptRecord          modelBug = "sends attempts without a record"
+	bugUnsafeUnrecorded         modelBug = "sends an unsafe message although its record failed"
+	bugNoEndRecord              modelBug = "does not write ends"
+	bugNoticeBeforeRecord       modelBug = "sends a notice before it is written"
+	bugKeepPartialWrite         modelBug = "does not truncate partial writes"
+	bugDropPostponed            modelBug = "forgets postponed records"
+	bugForgetDoubt              modelBug = "sends again what may have run before a restart"
+	bugIgnoreDedupWindow        modelBug = "sends a keyed message again after its window"
+	bugOtherNotice              modelBug = "sends another notice after a restart"
+	bugTruncateBeforeCompaction modelBug = "empties the old log before a compaction"
 )
 
-// life is the model's state of a message.
-type life struct {
-	repeat    decide.Repeat
-	answered  bool // the client received +OK
-	refused   bool
-	ran       bool          // an attempt may have run
-	ranAt     clock.Instant // send of the first such attempt
-	out       bool
-	told      string // outcome in the notice to the platform; empty for none
-	unwritten bool   // the notice was sent at the deadline, before its record could be written
-	over      bool   // the end of the message is written
-	ending    bool   // the end of the message was passed to the log
-	delivered bool
+// modelMessage is the model's state of a message.
+type modelMessage struct {
+	repeat          decide.Repeat
+	accepted        bool // the client received +OK
+	refused         bool
+	mayHaveRun      bool          // an attempt may have run
+	firstSent       clock.Instant // send of the first such attempt
+	inFlight        bool
+	notice          string // outcome in the notice to the platform; empty for none
+	noticeUnwritten bool   // the notice was sent at the deadline, before its record could be written
+	endWritten      bool   // the end of the message is written
+	endSubmitted    bool   // the end of the message was passed to the log
+	delivered       bool
 }
 
-// rules checks everything that is visible from outside the relay.
-type rules struct {
-	lives map[string]*life
-	err   error // the first violation
+// modelChecker checks everything that is visible from outside the relay.
+type modelChecker struct {
+	messages map[string]*modelMessage
+	err      error // the first violation
 }
 
-func (m *rules) broken(id, rule string) {
+func (m *modelChecker) violation(id, rule string) {
 	if m.err == nil {
 		m.err = fmt.Errorf("%s: %s", id, rule)
 	}
 }
 
-// forwarded checks an attempt that is sent to an endpoint.
-func (m *rules) forwarded(id string, now clock.Instant) {
-	l := m.lives[id]
+// checkSend checks an attempt that is sent to an endpoint.
+func (m *modelChecker) checkSend(id string, now clock.Instant) {
+	msg := m.messages[id]
 	switch {
-	case l.refused:
-		m.broken(id, "sent after it was refused")
-	case l.told != "" || l.over:
-		m.broken(id, "sent after its notice or end")
-	case l.ran && l.repeat == decide.Unsafe:
-		m.broken(id, "unsafe message sent twice")
-	case l.ran && l.repeat == decide.Keyed && now >= l.ranAt+modelWindow:
-		m.broken(id, "sent again after its deduplication window")
+	case msg.refused:
+		m.violation(id, "sent after it was refused")
+	case msg.notice != "" || msg.endWritten:
+		m.violation(id, "sent after its notice or end")
+	case msg.mayHaveRun && msg.repeat == decide.Unsafe:
+		m.violation(id, "unsafe message sent twice")
+	case msg.mayHaveRun && msg.repeat == decide.Keyed && now >= msg.firstSent+modelDedupWindowMicros:
+		m.violation(id, "sent again after its deduplication window")
 	}
-	l.out = true
-	if !l.ran {
-		l.ran, l.ranAt = true, now
+	msg.inFlight = true
+	if !msg.mayHaveRun {
+		msg.mayHaveRun, msg.firstSent = true, now
 	}
 }
 
-// tell checks a notice that is sent to the platform.
-func (m *rules) tell(id, word string) {
-	l := m.lives[id]
+// checkNotice checks a notice that is sent to the platform.
+func (m *modelChecker) checkNotice(id, outcome string) {
+	msg := m.messages[id]
 	switch {
-	case l.over:
-		m.broken(id, "notice after its end")
-	case l.told != "" && l.told != word && !l.unwritten:
-		m.broken(id, "second notice with another outcome")
+	case msg.endWritten:
+		m.violation(id, "notice after its end")
+	case msg.notice != "" && msg.notice != outcome && !msg.noticeUnwritten:
+		m.violation(id, "second notice with another outcome")
 	}
-	l.told = word
+	msg.notice = outcome
 }
 
-// restarted checks the messages that a new process recovers.
-func (m *rules) restarted(owed map[string]*record) {
-	for id, l := range m.lives {
-		r := owed[id]
+// checkRecovered checks the messages that a new process recovers.
+func (m *modelChecker) checkRecovered(recovered map[string]*record) {
+	for id, msg := range m.messages {
+		rec := recovered[id]
 		switch {
-		case l.refused && r != nil:
-			m.broken(id, "recovered although it was refused")
-		case l.over && r != nil:
-			m.broken(id, "recovered after its end")
-		case l.answered && !l.ending && r == nil:
-			m.broken(id, "accepted and lost")
-		case l.told != "" && !l.ending && r.Notice != l.told && !l.unwritten:
-			m.broken(id, "its notice is lost")
+		case msg.refused && rec != nil:
+			m.violation(id, "recovered although it was refused")
+		case msg.endWritten && rec != nil:
+			m.violation(id, "recovered after its end")
+		case msg.accepted && !msg.endSubmitted && rec == nil:
+			m.violation(id, "accepted and lost")
+		case msg.notice != "" && !msg.endSubmitted && rec.Notice != msg.notice && !msg.noticeUnwritten:
+			m.violation(id, "its notice is lost")
 		}
-		l.out = false
-		if r != nil {
-			l.answered, l.ending = true, false
-		} else if !l.answered {
-			l.refused = true // the client got no reply, and no process knows the message
+		msg.inFlight = false
+		if rec != nil {
+			msg.accepted, msg.endSubmitted = true, false
+		} else if !msg.accepted {
+			msg.refused = true // the client got no reply, and no process knows the message
 		}
 	}
 }
 
-// heldMessage is the small relay's state of a message.
-type heldMessage struct {
-	id       string
-	repeat   decide.Repeat
-	deadline clock.Instant
-	doubt    clock.Instant // send of the first attempt that may have run; zero for none
-	sent     clock.Instant // send of the attempt in flight; zero for none
-	notice   string
-	told     bool
+// relayMessage is the small relay's state of a message.
+type relayMessage struct {
+	id            string
+	repeat        decide.Repeat
+	deadline      clock.Instant
+	inDoubtSince  clock.Instant // send of the first attempt that may have run; zero for none
+	inFlightSince clock.Instant // send of the attempt in flight; zero for none
+	notice        string
+	noticeSent    bool
 }
 
 // modelRelay is a small relay that uses the log as the real one does.
 type modelRelay struct {
-	tb     testing.TB
-	dir    string
-	folder *faultyFolder
-	breaks breakage
-	w      *wal
-	held   []*heldMessage
-	rules  *rules
-	clock  *clock.Manual
-	now    clock.Instant
-	next   int
-	killed bool // the process is killed in this step: nothing it does is visible any more
+	tb       testing.TB
+	dir      string
+	folder   *faultyFolder
+	bug      modelBug
+	wal      *wal
+	messages []*relayMessage
+	checker  *modelChecker
+	clock    *clock.Manual
+	now      clock.Instant
+	nextID   int
+	killed   bool // the process is killed in this step: nothing it does is visible any more
 }
 
 // runHistory returns the first violation in a history.
-func runHistory(tb testing.TB, breaks breakage, history []modelStep) error {
+func runHistory(tb testing.TB, bug modelBug, history []modelStep) error {
 	dir, err := os.MkdirTemp("", "model")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	r := &modelRelay{tb: tb, dir: dir, folder: newFaultyFolder(), breaks: breaks, clock: clock.NewManual(modelStart), now: modelStart.Now,
-		rules: &rules{lives: map[string]*life{}}}
-	r.folder.keepsShortWrites = breaks == breaksShortWrite
+	r := &modelRelay{tb: tb, dir: dir, folder: newFaultyFolder(), bug: bug, clock: clock.NewManual(modelStart),
+		now:     modelStart.Now,
+		checker: &modelChecker{messages: map[string]*modelMessage{}}}
+	r.folder.ignoresTruncate = bug == bugKeepPartialWrite
 	r.restart()
-	defer func() { endFaultyWAL(r.w) }()
-	for i, s := range history {
-		if s.Kill {
+	defer func() { closeFaultyWAL(r.wal) }()
+	for i, step := range history {
+		if step.Kill {
 			r.killed = true
-			r.folder.killAfter = s.Bytes
+			r.folder.killAfter = step.Bytes
 		}
-		r.step(s)
+		r.step(step)
 		if r.killed {
-			endFaultyWAL(r.w)
+			closeFaultyWAL(r.wal)
 			r.folder.killAfter = -1
 			r.killed = false
 			r.folder.heal()
 			r.restart()
 		}
 		r.checkWritten()
-		if r.rules.err != nil {
-			return fmt.Errorf("step %d: %w", i, r.rules.err)
+		if r.checker.err != nil {
+			return fmt.Errorf("step %d: %w", i, r.checker.err)
 		}
 	}
-	endFaultyWAL(r.w)
+	closeFaultyWAL(r.wal)
 	r.folder.heal()
 	r.restart()
-	return r.rules.err
+	return r.checker.err
 }
 
 // restart starts a new process on the folder.
 func (r *modelRelay) restart() {
-	held, err := lockLogSlots(r.folder, r.dir)
+	slots, err := lockLogSlots(r.folder, r.dir)
 	if err != nil {
 		r.tb.Fatal(err)
 	}
-	w, owed, err := openWAL(held, modelDisk, func(string) bool { return false }, r.clock, quietLog())
+	w, pending, err := openWAL(slots, modelDiskBytes, func(string) bool { return false }, r.clock, quietLog())
 	if err != nil {
 		r.tb.Fatal(err)
 	}
-	r.w, r.held = w, nil
+	r.wal, r.messages = w, nil
 	found := map[string]*record{}
-	for _, rec := range owed {
+	for _, rec := range pending {
 		found[rec.ID] = rec
-		m := &heldMessage{id: rec.ID, repeat: rec.Rules.Repeat, deadline: rec.Deadline, doubt: rec.InDoubtSince, notice: rec.Notice}
-		if r.breaks == breaksDoubt {
-			m.doubt = 0
+		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Repeat, deadline: rec.Deadline, inDoubtSince: rec.InDoubtSince,
+			notice: rec.Notice}
+		if r.bug == bugForgetDoubt {
+			msg.inDoubtSince = 0
 		}
-		r.held = append(r.held, m)
+		r.messages = append(r.messages, msg)
 	}
-	r.rules.restarted(found)
-	for _, m := range r.held {
-		if m.notice == "" {
+	r.checker.checkRecovered(found)
+	for _, msg := range r.messages {
+		if msg.notice == "" {
 			continue
 		}
-		if r.breaks == breaksWord {
-			m.notice = "another"
+		if r.bug == bugOtherNotice {
+			msg.notice = "another"
 		}
-		r.tell(m)
+		r.sendNotice(msg)
 	}
 }
 
 // checkWritten notes which ends are written, and checks that the log has complete records only. It does
 // nothing while the folder fails.
 func (r *modelRelay) checkWritten() {
-	if len(r.w.health.postponed) > 0 || r.w.health.failing {
+	if len(r.wal.health.postponed) > 0 || r.wal.health.failing {
 		return
 	}
-	for _, l := range r.rules.lives {
-		l.over = l.over || l.ending
+	for _, msg := range r.checker.messages {
+		msg.endWritten = msg.endWritten || msg.endSubmitted
 	}
-	text, err := os.ReadFile(r.w.path)
+	text, err := os.ReadFile(r.wal.path)
 	if err != nil {
 		r.tb.Fatal(err)
 	}
 	for at := 0; at < len(text); {
 		_, size := decodeRecord(text[at:])
 		if size == 0 {
-			r.rules.broken(r.w.path, fmt.Sprintf("no complete record at %d of %d bytes", at, len(text)))
+			r.checker.violation(r.wal.path, fmt.Sprintf("no complete record at %d of %d bytes", at, len(text)))
 			return
 		}
 		at += size
@@ -296,221 +298,227 @@
 }
 
 // pick returns one of the messages that a step can apply to, or nil if there are none.
-func (r *modelRelay) pick(which int, may func(*heldMessage) bool) *heldMessage {
-	var some []*heldMessage
-	for _, m := range r.held {
-		if may(m) {
-			some = append(some, m)
+func (r *modelRelay) pick(index int, eligible func(*relayMessage) bool) *relayMessage {
+	var candidates []*relayMessage
+	for _, m := range r.messages {
+		if eligible(m) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(some) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return some[which%len(some)]
+	return candidates[index%len(candidates)]
 }
 
 // perform writes a record and passes the log's result to onDone, unless the process is killed meanwhile.
-func (r *modelRelay) perform(rec *record, heard func(error)) {
-	process := r.w
-	r.w.perform(walOp{rec: rec, onDone: func(err error) {
-		if !r.killed && r.w == process {
-			heard(err)
+func (r *modelRelay) perform(rec *record, onDone func(error)) {
+	process := r.wal
+	r.wal.perform(walOp{rec: rec, onDone: func(err error) {
+		if !r.killed && r.wal == process {
+			onDone(err)
 		}
 	}})
 }
 
 func ignoreResult(error) {}
 
-func (r *modelRelay) step(s modelStep) {
-	switch s.Kind {
+func (r *modelRelay) step(step modelStep) {
+	switch step.Kind {
 	case stepAccept:
-		r.accept(s)
+		r.accept(step)
 	case stepAttempt:
-		if m := r.pick(s.Which, r.maySend); m != nil {
-			r.attempt(m)
+		if msg := r.pick(step.MessageIndex, r.maySend); msg != nil {
+			r.attempt(msg)
 		}
 	case stepDelivered, stepNeverRan, stepMayHaveRun:
-		if m := r.pick(s.Which, func(m *heldMessage) bool { return m.sent != 0 }); m != nil {
-			r.outcome(m, s.Kind)
+		if msg := r.pick(step.MessageIndex, func(msg *relayMessage) bool { return msg.inFlightSince != 0 }); msg != nil {
+			r.outcome(msg, step.Kind)
 		}
 	case stepFinish:
-		if m := r.pick(s.Which, func(m *heldMessage) bool { return m.sent == 0 && m.notice == "" }); m != nil {
-			r.finish(m)
+		if msg := r.pick(step.MessageIndex, func(msg *relayMessage) bool {
+			return msg.inFlightSince == 0 &&
+				msg.notice == ""
+		}); msg != nil {
+			r.finish(msg)
 		}
 	case stepConfirm:
-		if m := r.pick(s.Which, func(m *heldMessage) bool { return m.told }); m != nil {
-			r.end(m, false)
+		if msg := r.pick(step.MessageIndex, func(msg *relayMessage) bool { return msg.noticeSent }); msg != nil {
+			r.end(msg, false)
 		}
 	case stepCompact:
 		r.compact()
 	case stepRetry:
 		r.retry()
 	case stepFailWrites:
-		r.folder.fail(syscall.ENOSPC, s.Bytes, opWrite)
+		r.folder.fail(syscall.ENOSPC, step.Bytes, opWrite)
 	case stepFailAll:
-		r.folder.fail(syscall.EIO, s.Bytes, changesFolder...)
+		r.folder.fail(syscall.EIO, step.Bytes, modifyingOperations...)
 	case stepHeal:
 		r.folder.heal()
 		r.retry()
 	case stepWait:
-		r.clock.Advance(time.Duration(s.Micros) * time.Microsecond)
+		r.clock.Advance(time.Duration(step.Micros) * time.Microsecond)
 		r.now = r.clock.Now()
 	}
 }
 
-func (r *modelRelay) accept(s modelStep) {
-	id := fmt.Sprint("m", r.next)
-	r.next++
-	m := &heldMessage{id: id, repeat: s.Repeat, deadline: r.now + clock.Instant(2*s.Micros)}
-	l := &life{repeat: s.Repeat}
-	r.rules.lives[id] = l
-	rec := &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: m.deadline, MaxAttempts: 8, body: make([]byte, s.Bytes),
-		Rules: &decide.Class{Name: "c", Repeat: s.Repeat, Deadline: 20e6, DedupWindow: modelWindow}}
+func (r *modelRelay) accept(step modelStep) {
+	id := fmt.Sprint("m", r.nextID)
+	r.nextID++
+	msg := &relayMessage{id: id, repeat: step.Repeat, deadline: r.now + clock.Instant(2*step.Micros)}
+	state := &modelMessage{repeat: step.Repeat}
+	r.checker.messages[id] = state
+	rec := &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: msg.deadline, MaxAttempts: 8,
+		body:  make([]byte, step.Bytes),
+		Rules: &decide.Class{Name: "c", Repeat: step.Repeat, Deadline: 20e6, DedupWindow: modelDedupWindowMicros}}
 	r.perform(rec, func(err error) {
-		if err != nil && r.breaks != breaksAnswerFirst {
-			l.refused = true
+		if err != nil && r.bug != bugReplyBeforeRecord {
+			state.refused = true
 			return
 		}
-		l.answered = true
-		r.held = append(r.held, m)
+		state.accepted = true
+		r.messages = append(r.messages, msg)
 	})
 }
 
 // maySend is the rule by which the policy allows another attempt.
-func (r *modelRelay) maySend(m *heldMessage) bool {
-	if m.sent != 0 || m.notice != "" || r.now >= m.deadline {
+func (r *modelRelay) maySend(msg *relayMessage) bool {
+	if msg.inFlightSince != 0 || msg.notice != "" || r.now >= msg.deadline {
 		return false
 	}
 	switch {
-	case m.doubt == 0 || m.repeat == decide.Safe:
+	case msg.inDoubtSince == 0 || msg.repeat == decide.Safe:
 		return true
-	case m.repeat == decide.Keyed:
-		return r.breaks == breaksWindow || r.now < m.doubt+modelWindow
+	case msg.repeat == decide.Keyed:
+		return r.bug == bugIgnoreDedupWindow || r.now < msg.inDoubtSince+modelDedupWindowMicros
 	}
 	return false
 }
 
-func (r *modelRelay) attempt(m *heldMessage) {
+func (r *modelRelay) attempt(msg *relayMessage) {
 	send := func() {
-		m.sent = r.now
-		r.rules.forwarded(m.id, r.now)
+		msg.inFlightSince = r.now
+		r.checker.checkSend(msg.id, r.now)
 	}
-	if r.breaks == breaksForgetAttempt {
+	if r.bug == bugNoAttemptRecord {
 		if !r.killed {
 			send()
 		}
 		return
 	}
-	r.perform(&record{Kind: recordAttempt, ID: m.id, At: r.now}, func(err error) {
-		if err == nil || r.breaks == breaksUnsafeUnlogged && !errors.Is(err, errNotPending) {
+	r.perform(&record{Kind: recordAttempt, ID: msg.id, At: r.now}, func(err error) {
+		if err == nil || r.bug == bugUnsafeUnrecorded && !errors.Is(err, errNotPending) {
 			send()
 		}
 	})
 }
 
-func (r *modelRelay) outcome(m *heldMessage, kind stepKind) {
-	l := r.rules.lives[m.id]
-	sent := m.sent
-	m.sent, l.out = 0, false
+func (r *modelRelay) outcome(msg *relayMessage, kind stepKind) {
+	state := r.checker.messages[msg.id]
+	sent := msg.inFlightSince
+	msg.inFlightSince, state.inFlight = 0, false
 	switch kind {
 	case stepDelivered:
-		r.end(m, true)
+		r.end(msg, true)
 		return
 	case stepNeverRan:
-		if l.ranAt == sent { // the endpoint shows that the attempt did not run
-			l.ran = m.doubt != 0
+		if state.firstSent == sent { // the endpoint shows that the attempt did not run
+			state.mayHaveRun = msg.inDoubtSince != 0
 		}
 	case stepMayHaveRun:
-		if m.doubt == 0 {
-			m.doubt = sent
+		if msg.inDoubtSince == 0 {
+			msg.inDoubtSince = sent
 		}
 	}
-	r.perform(&record{Kind: recordOutcome, ID: m.id, MayHaveRun: kind == stepMayHaveRun}, ignoreResult)
+	r.perform(&record{Kind: recordOutcome, ID: msg.id, MayHaveRun: kind == stepMayHaveRun}, ignoreResult)
 }
 
 // end writes the end of a message.
-func (r *modelRelay) end(m *heldMessage, delivered bool) {
-	r.held = slices.DeleteFunc(r.held, func(x *heldMessage) bool { return x == m })
-	l := r.rules.lives[m.id]
-	l.ending, l.delivered = true, delivered
-	if r.breaks != breaksForgetEnd {
-		r.perform(&record{Kind: recordEnd, ID: m.id, MayHaveRun: delivered}, ignoreResult)
+func (r *modelRelay) end(msg *relayMessage, delivered bool) {
+	r.messages = slices.DeleteFunc(r.messages, func(other *relayMessage) bool { return other == msg })
+	state := r.checker.messages[msg.id]
+	state.endSubmitted, state.delivered = true, delivered
+	if r.bug != bugNoEndRecord {
+		r.perform(&record{Kind: recordEnd, ID: msg.id, MayHaveRun: delivered}, ignoreResult)
 	}
 }
 
 // finish ends a message that was not delivered with a notice.
-func (r *modelRelay) finish(m *heldMessage) {
-	m.notice = endGivenUp
-	if m.doubt == 0 || m.repeat == decide.Safe || m.repeat == decide.Keyed && r.now < m.doubt+modelWindow {
-		m.notice = endHandedBack
+func (r *modelRelay) finish(msg *relayMessage) {
+	msg.notice = endGivenUp
+	if msg.inDoubtSince == 0 || msg.repeat == decide.Safe || msg.repeat == decide.Keyed &&
+		r.now < msg.inDoubtSince+modelDedupWindowMicros {
+		msg.notice = endHandedBack
 	}
-	if r.breaks == breaksForgetEnding && !r.killed {
-		r.tell(m)
+	if r.bug == bugNoticeBeforeRecord && !r.killed {
+		r.sendNotice(msg)
 	}
-	r.perform(&record{Kind: recordEnding, ID: m.id, Notice: m.notice}, func(error) {
-		if r.isPostponed(m.id) {
-			r.rules.lives[m.id].unwritten = true
-			if r.now < m.deadline {
-				r.rules.broken(m.id, "its notice is sent before it is written, and before the deadline")
+	r.perform(&record{Kind: recordEnding, ID: msg.id, Notice: msg.notice}, func(error) {
+		if r.isPostponed(msg.id) {
+			r.checker.messages[msg.id].noticeUnwritten = true
+			if r.now < msg.deadline {
+				r.checker.violation(msg.id, "its notice is sent before it is written, and before the deadline")
 			}
 		}
-		r.tell(m)
+		r.sendNotice(msg)
 	})
 }
 
 // isPostponed reports whether the record of a message's ending is still to be written.
 func (r *modelRelay) isPostponed(id string) bool {
-	return slices.ContainsFunc(r.w.health.postponed, func(p postponedRecord) bool {
+	return slices.ContainsFunc(r.wal.health.postponed, func(p postponedRecord) bool {
 		return p.rec != nil && p.rec.Kind == recordEnding && p.rec.ID == id
 	})
 }
 
-func (r *modelRelay) tell(m *heldMessage) {
-	m.told = true
-	r.rules.tell(m.id, m.notice)
+func (r *modelRelay) sendNotice(msg *relayMessage) {
+	msg.noticeSent = true
+	r.checker.checkNotice(msg.id, msg.notice)
 }
 
 func (r *modelRelay) compact() {
-	if r.breaks == breaksEarlyCompaction && !r.killed {
-		os.Truncate(r.w.path, 0)
+	if r.bug == bugTruncateBeforeCompaction && !r.killed {
+		os.Truncate(r.wal.path, 0)
 	}
-	if err := r.w.compact(); err != nil {
-		r.w.failCompaction(err)
+	if err := r.wal.compact(); err != nil {
+		r.wal.failCompaction(err)
 	}
 }
 
 func (r *modelRelay) retry() {
-	if r.breaks == breaksPostponed {
-		r.w.health.postponed = nil
+	if r.bug == bugDropPostponed {
+		r.wal.health.postponed = nil
 	}
-	r.w.retryWrites()
+	r.wal.retryWrites()
 }
 
 // Whatever fails and wherever the process is killed: each message has one final outcome, is not sent after it,
 // and is not sent twice if its class does not allow that.
-func TestLogKeepsTheRules(t *testing.T) {
+func TestLogKeepsDeliveryRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		history := modelHistories.Draw(rt, "history")
-		if err := runHistory(t, breaksNothing, history); err != nil {
+		if err := runHistory(t, bugNone, history); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
 // The model must detect each modelBug; otherwise a passing TestLogKeepsDeliveryRules would prove nothing.
-func TestModelSeesBrokenRules(t *testing.T) {
-	const most = 3000 // histories
-	for _, breaks := range []breakage{breaksAnswerFirst, breaksForgetAttempt, breaksUnsafeUnlogged, breaksForgetEnd,
-		breaksForgetEnding, breaksShortWrite, breaksPostponed, breaksDoubt, breaksWindow, breaksWord, breaksEarlyCompaction} {
-		t.Run(string(breaks), func(t *testing.T) {
+func TestModelDetectsBugs(t *testing.T) {
+	const maxHistories = 3000
+	for _, bug := range []modelBug{bugReplyBeforeRecord, bugNoAttemptRecord, bugUnsafeUnrecorded, bugNoEndRecord,
+		bugNoticeBeforeRecord, bugKeepPartialWrite, bugDropPostponed, bugForgetDoubt, bugIgnoreDedupWindow, bugOtherNotice,
+		bugTruncateBeforeCompaction} {
+		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
-			for seed := range most {
-				if err := runHistory(t, breaks, modelHistories.Example(seed)); err != nil {
+			for seed := range maxHistories {
+				if err := runHistory(t, bug, modelHistories.Example(seed)); err != nil {
 					t.Logf("history %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not detected in %d histories", most)
+			t.Errorf("not detected in %d histories", maxHistories)
 		})
 	}
 }
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -15,37 +15,38 @@
 // openTestWAL opens the log in a folder as a new process does, with the messages that are pending.
 func openTestWAL(t *testing.T, dir string, limit int64) (*wal, []*record) {
 	t.Helper()
-	if l := testLogs[dir]; l != nil {
-		l.release() // as the end of the earlier process does
+	if slots := testSlots[dir]; slots != nil {
+		slots.release() // as the end of the earlier process does
 	}
-	l, err := lockLogSlots(osFolder{}, dir)
+	slots, err := lockLogSlots(osFolder{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testLogs[dir] = l
-	w, owed, err := openWAL(l, limit, func(string) bool { return false }, clock.System(), quietLog())
+	testSlots[dir] = slots
+	w, pending, err := openWAL(slots, limit, func(string) bool { return false }, clock.System(), quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.file.Close(); l.release() })
-	return w, owed
+	t.Cleanup(func() { w.file.Close(); slots.release() })
+	return w, pending
 }
 
-// testLogs has the slots that were locked last in each folder.
-var testLogs = map[string]*logSlots{}
+// testSlots has the slots that were locked last in each folder.
+var testSlots = map[string]*logSlots{}
 
 func mustAppend(t *testing.T, w *wal, recs ...*record) {
 	t.Helper()
-	for _, r := range recs {
-		if err := w.append(r, false); err != nil {
-			t.Fatalf("%s of %s: %v", r.Kind, r.ID, err)
+	for _, rec := range recs {
+		if err := w.append(rec, false); err != nil {
+			t.Fatalf("%s of %s: %v", rec.Kind, rec.ID, err)
 		}
 	}
 }
 
-// taken returns a record that accepts a message of a keyed class.
-func taken(id string, body string) *record {
-	return &record{Kind: recordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, body: []byte(body)}
+// acceptedRecord returns a record that accepts a message of a keyed class.
+func acceptedRecord(id string, body string) *record {
+	return &record{Kind: recordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15,
+		body: []byte(body)}
 }
 
 // Pending messages are recovered with their state, in order, also by a second start, which reads the
@@ -53,7 +54,8 @@
 func TestWALRecovers(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, 1<<20)
-	mustAppend(t, w, taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
+	mustAppend(t, w, acceptedRecord("a", "A\n\x00"), acceptedRecord("b", ""), acceptedRecord("c", "C"),
+		acceptedRecord("d", "D"), acceptedRecord("e", "E"),
 		&record{Kind: recordAttempt, ID: "a", At: 100, ZoneIndex: 1},
 		&record{Kind: recordOutcome, ID: "a", MayHaveRun: false},
 		&record{Kind: recordAttempt, ID: "b", At: 200, ZoneIndex: 1},
@@ -63,16 +65,18 @@
 		&record{Kind: recordEnd, ID: "d"},
 		&record{Kind: recordEnding, ID: "e", Notice: endHandedBack, RetryMS: 20})
 	for range 2 {
-		_, owed := openTestWAL(t, dir, 1<<20)
+		_, pending := openTestWAL(t, dir, 1<<20)
 		var got []string
-		for _, r := range owed {
-			got = append(got, r.ID+" "+string(r.body)+" "+strconv.Itoa(r.Attempts)+" "+strconv.FormatInt(int64(r.InDoubtSince), 10)+" "+r.Notice)
+		for _, r := range pending {
+			got = append(got, r.ID+" "+string(r.body)+" "+strconv.Itoa(r.Attempts)+" "+
+				strconv.FormatInt(int64(r.InDoubtSince), 10)+" "+r.Notice)
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + endHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("recovered %q", got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.InDoubtZoneIndex != 1 {
+		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 ||
+			r.InDoubtZoneIndex != 1 {
 			t.Errorf("recovered %+v", r)
 		}
 	}
@@ -82,24 +86,24 @@
 // rest of the log is recovered, and later records can be read.
 func TestWALDamage(t *testing.T) {
 	sizes, start := []int{}, 0 // size of the log after each record, and after the clock record
-	whole := func(dir string) string {
+	writeLog := func(dir string) string {
 		w, _ := openTestWAL(t, dir, 1<<20)
 		sizes, start = sizes[:0], int(w.size)
 		for _, id := range []string{"a", "b", "c"} {
-			mustAppend(t, w, taken(id, "body "+recordMarker+" of "+id))
+			mustAppend(t, w, acceptedRecord(id, "body "+recordMarker+" of "+id))
 			sizes = append(sizes, int(w.size))
 		}
 		return filepath.Join(dir, walFileName)
 	}
-	ids := func(owed []*record) (s string) {
-		for _, r := range owed {
+	ids := func(pending []*record) (s string) {
+		for _, r := range pending {
 			s += r.ID
 		}
 		return s
 	}
-	for name, x := range map[string]struct {
-		spoil func(b []byte) []byte
-		want  string
+	for name, test := range map[string]struct {
+		damage func(b []byte) []byte
+		want   string
 	}{
 		"torn tail":      {func(b []byte) []byte { return b[:len(b)-5] }, "ab"},
 		"torn head":      {func(b []byte) []byte { return b[:sizes[1]+6] }, "ab"},
@@ -114,21 +118,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			path := whole(dir)
+			path := writeLog(dir)
 			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, x.spoil(text), 0o600); err != nil {
+			if err := os.WriteFile(path, test.damage(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed := openTestWAL(t, dir, 1<<20)
-			if got := ids(owed); got != x.want {
-				t.Fatalf("recovered %q, want %q", got, x.want)
+			w, pending := openTestWAL(t, dir, 1<<20)
+			if got := ids(pending); got != test.want {
+				t.Fatalf("recovered %q, want %q", got, test.want)
 			}
-			mustAppend(t, w, taken("z", "Z"))
-			if _, owed = openTestWAL(t, dir, 1<<20); ids(owed) != x.want+"z" {
-				t.Errorf("recovered %q after the next record was written", ids(owed))
+			mustAppend(t, w, acceptedRecord("z", "Z"))
+			if _, pending = openTestWAL(t, dir, 1<<20); ids(pending) != test.want+"z" {
+				t.Errorf("recovered %q after z was written, want z and all before", ids(pending))
 			}
 		})
 	}
@@ -141,21 +145,22 @@
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, limit)
 	body := strings.Repeat("b", bodyMost)
-	n := 0
-	for ; ; n++ {
-		if err := w.append(taken(strconv.Itoa(n), body), false); err != nil {
+	count := 0
+	for ; ; count++ {
+		if err := w.append(acceptedRecord(strconv.Itoa(count), body), false); err != nil {
 			if !errors.Is(err, errDiskFull) {
 				t.Fatal(err)
 			}
 			break
 		}
 	}
-	if n == 0 {
+	if count == 0 {
 		t.Fatal("no message fits into the log")
 	}
 	for round := range 3000 { // far more than fits without compaction
-		id := strconv.Itoa(round % n)
-		mustAppend(t, w, &record{Kind: recordAttempt, ID: id, At: clock.Instant(round) + 1}, &record{Kind: recordOutcome, ID: id, MayHaveRun: true})
+		id := strconv.Itoa(round % count)
+		mustAppend(t, w, &record{Kind: recordAttempt, ID: id, At: clock.Instant(round) + 1},
+			&record{Kind: recordOutcome, ID: id, MayHaveRun: true})
 		if w.size+w.reservedBytes > limit {
 			t.Fatalf("round %d: the log has %d bytes and a compaction adds %d, above the limit", round, w.size, w.reservedBytes)
 		}
@@ -163,24 +168,26 @@
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.size {
 		t.Fatalf("file is %v, want %d bytes, err %v", info, w.size, err)
 	}
-	for i := range n {
+	for i := range count {
 		mustAppend(t, w, &record{Kind: recordEnd, ID: strconv.Itoa(i)})
 	}
 	if w.reservedBytes != 0 {
 		t.Errorf("%d bytes are reserved without a message, want 0", w.reservedBytes)
 	}
-	mustAppend(t, w, taken("next", body))
+	mustAppend(t, w, acceptedRecord("next", body))
 }
 
 // A compaction may write a record with more state than it had at first. The space for that is
 // reserved when the message is accepted.
-func TestRecordRoom(t *testing.T) {
-	r := taken("9b1f03aa5c7e2d41", "body")
-	r.Attempts, r.InDoubtSince, r.InDoubtZoneIndex, r.InFlightSince, r.InFlightZoneIndex, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, endHandedBack, 2000
-	r.InDoubtZoneName, r.InFlightZoneName = strings.Repeat("f", maxZoneNameBytes), strings.Repeat("f", maxZoneNameBytes)
-	text, err := r.encode(nil)
-	if err != nil || int64(len(text)) > reservedRecordBytes(r) {
-		t.Errorf("record takes %d bytes, %d are reserved, err %v", len(text), reservedRecordBytes(r), err)
+func TestReservedRecordBytes(t *testing.T) {
+	rec := acceptedRecord("9b1f03aa5c7e2d41", "body")
+	rec.Attempts, rec.InDoubtSince, rec.InDoubtZoneIndex, rec.InFlightSince, rec.InFlightZoneIndex, rec.Notice,
+		rec.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, endHandedBack, 2000
+	rec.InDoubtZoneName, rec.InFlightZoneName = strings.Repeat("f", maxZoneNameBytes),
+		strings.Repeat("f", maxZoneNameBytes)
+	text, err := rec.encode(nil)
+	if err != nil || int64(len(text)) > reservedRecordBytes(rec) {
+		t.Errorf("record takes %d bytes, %d are reserved, err %v", len(text), reservedRecordBytes(rec), err)
 	}
 }
 
@@ -188,34 +195,34 @@
 func TestWALWriteFails(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, 1<<20)
-	mustAppend(t, w, taken("a", "A"))
+	mustAppend(t, w, acceptedRecord("a", "A"))
 	w.file.Close()
-	if w.append(taken("b", "B"), false) == nil {
+	if w.append(acceptedRecord("b", "B"), false) == nil {
 		t.Fatal("append to a closed file succeeded")
 	}
 	if w.pending["b"] != nil {
 		t.Error("the refused message is pending")
 	}
 	if err := w.append(&record{Kind: recordAttempt, ID: "b"}, false); !errors.Is(err, errNotPending) {
-		t.Errorf("attempt of the refused message: got error %v", err)
+		t.Errorf("attempt of the refused message: got error %v, want that it is not pending", err)
 	}
-	if _, owed := openTestWAL(t, dir, 1<<20); len(owed) != 1 {
-		t.Errorf("recovered %d messages, want 1", len(owed))
+	if _, pending := openTestWAL(t, dir, 1<<20); len(pending) != 1 {
+		t.Errorf("recovered %d messages, want 1", len(pending))
 	}
 }
 
 // FuzzReplay: a valid record after arbitrary bytes is recovered, and converted deadlines stay within the class's.
 func FuzzReplay(f *testing.F) {
-	good, err := taken("a", "A").encode(nil)
+	valid, err := acceptedRecord("a", "A").encode(nil)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte(recordMarker + "\x00\x00\x00\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		w := newWAL(1<<20, clock.System(), quietLog())
 		w.replaying = true
-		w.replay(append(b, good...))
+		w.replay(append(b, valid...))
 		if w.pending["a"] == nil && !strings.Contains(string(b), recordMarker) {
 			t.Fatal("the valid record is lost")
 		}
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -13,91 +13,96 @@
 	"troutusher/internal/clock"
 )
 
-// fixtureWall is the wall-clock time at which testdata/unix-micro.wal was written, by a release that
+// fixtureWallTime is the wall-clock time at which testdata/unix-micro.wal was written, by a release that
 // logged Unix microseconds.
-const fixtureWall clock.UnixMicro = 1796201478316395
+const fixtureWallTime clock.UnixMicro = 1796201478316395
 
-// logLines collects log output.
-type logLines struct {
+// logCapture collects log output.
+type logCapture struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logLines) Write(p []byte) (int, error) {
+func (l *logCapture) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logLines) count(what string) int {
+func (l *logCapture) count(substring string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
+	return strings.Count(l.text.String(), substring)
 }
 
-// clockWAL opens a log with a clock, as a new process does after the earlier one has ended.
-func clockWAL(t *testing.T, dir string, clk clock.Clock) (*wal, map[string]*record, *logLines) {
+// openWALWithClock opens a log with a clock, as a new process does after the earlier one has ended.
+func openWALWithClock(t *testing.T, dir string, clk clock.Clock) (*wal, map[string]*record, *logCapture) {
 	t.Helper()
-	if l := testLogs[dir]; l != nil {
-		l.release()
+	if slots := testSlots[dir]; slots != nil {
+		slots.release()
 	}
-	l, err := lockLogSlots(osFolder{}, dir)
+	slots, err := lockLogSlots(osFolder{}, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testLogs[dir] = l
-	lines := &logLines{}
-	w, owed, err := openWAL(l, 3<<20, func(string) bool { return false }, clk, slog.New(slog.NewTextHandler(lines, nil)))
+	testSlots[dir] = slots
+	lines := &logCapture{}
+	w, pending, err := openWAL(slots, 3<<20, func(string) bool { return false }, clk,
+		slog.New(slog.NewTextHandler(lines, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.file.Close(); l.release() })
+	t.Cleanup(func() { w.file.Close(); slots.release() })
 	byID := map[string]*record{}
-	for _, r := range owed {
+	for _, r := range pending {
 		byID[r.ID] = r
 	}
 	return w, byID, lines
 }
 
 func testReading() clock.Reading {
-	return clock.Reading{Boot: "boot", Now: clock.Instant(3600e6), Wall: fixtureWall}
+	return clock.Reading{Boot: "boot", Now: clock.Instant(3600e6), Wall: fixtureWallTime}
 }
 
-// fill logs a message without attempts, one with an attempt that may have run, an ended one and an outage.
-func fill(t *testing.T, w *wal, clk clock.Clock) {
+// logSampleMessages logs a message without attempts, one with an attempt that may have run, an ended one and an outage.
+func logSampleMessages(t *testing.T, w *wal, clk clock.Clock) {
 	t.Helper()
 	cfg := testSet(t)
-	take := func(id, class string) {
+	accept := func(id, class string) {
 		now := clk.Now()
-		mustAppend(t, w, &record{Kind: recordAccepted, ID: id, Class: class, Dest: 7, Deadline: now.Add(20 * time.Second), At: now,
+		mustAppend(t, w, &record{Kind: recordAccepted, ID: id, Class: class, Dest: 7, Deadline: now.Add(20 * time.Second),
+			At:    now,
 			Rules: &cfg.Policy.Classes[cfg.classes[class]], MaxAttempts: 8})
 	}
-	take("untried", "plain")
-	take("doubt", "keyed")
+	accept("untried", "plain")
+	accept("doubt", "keyed")
 	mustAppend(t, w, &record{Kind: recordAttempt, ID: "doubt", At: clk.Now()})
-	take("ended", "once")
+	accept("ended", "once")
 	mustAppend(t, w, &record{Kind: recordEnd, ID: "ended", MayHaveRun: true},
-		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageMemory{FirstBad: decide.Time(clk.Now()) - 5e6, BadAt: decide.Time(clk.Now())}})
+		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageMemory{FirstBad: decide.Time(clk.Now()) - 5e6,
+			BadAt: decide.Time(clk.Now())}})
 }
 
 // A step of the wall clock between two processes changes no deadline, deduplication window or outage.
-func TestWallStepBetweenProcesses(t *testing.T) {
+func TestWallClockStepBetweenProcesses(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		dir, clk := t.TempDir(), clock.NewManual(testReading())
-		w, _, _ := clockWAL(t, dir, clk)
-		fill(t, w, clk)
-		taken := clk.Now()
+		w, _, _ := openWALWithClock(t, dir, clk)
+		logSampleMessages(t, w, clk)
+		acceptedAt := clk.Now()
 		clk.Advance(3 * time.Second)
 		clk.StepWall(step)
-		w, owed, lines := clockWAL(t, dir, clk)
-		if d := owed["untried"].Deadline; d != taken.Add(20*time.Second) {
-			t.Errorf("step %v: got %v until the deadline, want 17s", step, clock.Until(clk, d))
+		w, pending, lines := openWALWithClock(t, dir, clk)
+		if deadline := pending["untried"].Deadline; deadline != acceptedAt.Add(20*time.Second) {
+			t.Errorf("step %v: got %v until the deadline, want 17s", step, clock.Until(clk, deadline))
 		}
-		if r := owed["doubt"]; r.DedupWindowUnknown || r.InDoubtSince != taken {
+		if r := pending["doubt"]; r.DedupWindowUnknown || r.InDoubtSince != acceptedAt {
 			t.Errorf("step %v: recovered %+v", step, r)
 		}
-		if len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 || w.outageRecords()[0].Outage.BadAt != decide.Time(taken) {
-			t.Errorf("step %v: got %d ended messages and %d outages, want 1 of each and the outage unmoved", step, len(w.endedRecords()), len(w.outageRecords()))
+		if len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 ||
+			w.outageRecords()[0].Outage.BadAt != decide.Time(acceptedAt) {
+			t.Errorf("step %v: got %d ended messages and %d outages, want 1 of each and the outage unmoved", step,
+				len(w.endedRecords()), len(w.outageRecords()))
 		}
 		if n := lines.count("another clock"); n != 0 {
 			t.Errorf("step %v: the log is read as one of another clock", step)
@@ -108,7 +113,7 @@
 // After a reboot, or a step back of the monotonic clock, the elapsed time is taken from the wall clock.
 // No deadline moves further away, no deduplication window counts as open, and ended messages stay known.
 func TestLogOfAnotherBoot(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		boot   string
 		now    clock.Instant
 		passed time.Duration // on the wall clock
@@ -122,16 +127,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir, clk := t.TempDir(), clock.NewManual(testReading())
-			w, _, _ := clockWAL(t, dir, clk)
-			fill(t, w, clk)
-			next := clock.NewManual(clock.Reading{Boot: x.boot, Now: x.now, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
+			w, _, _ := openWALWithClock(t, dir, clk)
+			logSampleMessages(t, w, clk)
+			next := clock.NewManual(clock.Reading{Boot: test.boot, Now: test.now,
+				Wall: fixtureWallTime + clock.UnixMicro(test.passed.Microseconds())})
 			for range 2 { // the second start reads the log that the first one converted
-				w, owed, lines := clockWAL(t, dir, next)
-				left := clock.Until(next, owed["untried"].Deadline)
-				if x.left > 0 && left != x.left || x.left <= 0 && left > 0 {
-					t.Errorf("got %v until the deadline, want %v", left, x.left)
+				w, pending, lines := openWALWithClock(t, dir, next)
+				left := clock.Until(next, pending["untried"].Deadline)
+				if test.left > 0 && left != test.left || test.left <= 0 && left > 0 {
+					t.Errorf("got %v until the deadline, want %v", left, test.left)
 				}
-				if r := owed["doubt"]; !r.DedupWindowUnknown || r.InDoubtSince == 0 {
+				if r := pending["doubt"]; !r.DedupWindowUnknown || r.InDoubtSince == 0 {
 					t.Errorf("the deduplication window counts as open: %+v", r)
 				}
 				if len(w.endedRecords()) != 1 {
@@ -140,7 +146,7 @@
 				if n := lines.count("another clock"); n > 1 {
 					t.Errorf("the other clock is logged %d times, want at most 1", n)
 				}
-				if x.boot == "" {
+				if test.boot == "" {
 					break // without a boot id each start has another clock
 				}
 			}
@@ -158,45 +164,51 @@
 		}
 		return text
 	}
-	message := encoded(&record{Kind: recordAccepted, ID: "m", Class: "keyed", Deadline: clk.Now().Add(20 * time.Second), At: clk.Now(),
+	message := encoded(&record{Kind: recordAccepted, ID: "m", Class: "keyed", Deadline: clk.Now().Add(20 * time.Second),
+		At:            clk.Now(),
 		InFlightSince: clk.Now(), Attempts: 1, Rules: &testSet(t).Policy.Classes[1]})
-	sound := encoded(newClockRecord(clock.Read(clk)))
-	flipped := append([]byte{}, sound...)
+	valid := encoded(newClockRecord(clock.Read(clk)))
+	flipped := append([]byte{}, valid...)
 	flipped[len(flipped)/2] ^= 4
-	for name, x := range map[string]struct {
-		front []byte
-		line  string
+	for name, test := range map[string]struct {
+		prefix   []byte
+		wantLine string
 	}{
-		"torn":    {sound[:len(sound)/2], "damaged record skipped"},
+		"torn":    {valid[:len(valid)/2], "damaged record skipped"},
 		"flipped": {flipped, "damaged record skipped"},
 		"empty":   {encoded(&record{Kind: recordClock, ID: clockRecordID}), "implausible clock record"},
-		"absurd":  {encoded(newClockRecord(clock.Reading{Boot: "boot", Now: -5, Wall: fixtureWall})), "implausible clock record"},
-		"unknown": {encoded(newClockRecord(clock.Reading{Boot: "other", Now: clk.Now(), Wall: fixtureWall})), "another clock"},
+		"absurd": {encoded(newClockRecord(clock.Reading{Boot: "boot", Now: -5, Wall: fixtureWallTime})),
+			"implausible clock record"},
+		"unknown": {encoded(newClockRecord(clock.Reading{Boot: "other", Now: clk.Now(), Wall: fixtureWallTime})),
+			"another clock"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			if err := os.WriteFile(filepath.Join(dir, walFileName), append(x.front, message...), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, walFileName), append(test.prefix, message...), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			_, owed, lines := clockWAL(t, dir, clk)
-			r := owed["m"]
-			if r == nil || !r.DedupWindowUnknown || clock.Until(clk, r.Deadline) > 20*time.Second || clock.Until(clk, r.Deadline) <= 0 {
+			_, pending, lines := openWALWithClock(t, dir, clk)
+			r := pending["m"]
+			if r == nil || !r.DedupWindowUnknown || clock.Until(clk, r.Deadline) > 20*time.Second ||
+				clock.Until(clk, r.Deadline) <= 0 {
 				t.Errorf("recovered %+v", r)
 			}
-			if n := lines.count(x.line); n != 1 {
-				t.Errorf("%q is logged %d times, want 1", x.line, n)
+			if n := lines.count(test.wantLine); n != 1 {
+				t.Errorf("%q is logged %d times, want 1", test.wantLine, n)
 			}
 		})
 	}
 }
 
 // The instants of records after a second clock record belong to that one's clock.
-func TestClockRecordHoldsForWhatFollows(t *testing.T) {
-	first, second := testReading(), clock.Reading{Boot: "next", Now: 50e6, Wall: fixtureWall + 10e6}
+func TestClockRecordAppliesToLaterRecords(t *testing.T) {
+	first, second := testReading(), clock.Reading{Boot: "next", Now: 50e6, Wall: fixtureWallTime + 10e6}
 	var text []byte
 	for _, r := range []*record{
-		newClockRecord(first), {Kind: recordAccepted, ID: "a", Class: "plain", Deadline: first.Now.Add(20 * time.Second), At: first.Now},
-		newClockRecord(second), {Kind: recordAccepted, ID: "b", Class: "plain", Deadline: second.Now.Add(20 * time.Second), At: second.Now},
+		newClockRecord(first), {Kind: recordAccepted, ID: "a", Class: "plain", Deadline: first.Now.Add(20 * time.Second),
+			At: first.Now},
+		newClockRecord(second), {Kind: recordAccepted, ID: "b", Class: "plain", Deadline: second.Now.Add(20 * time.Second),
+			At: second.Now},
 	} {
 		var err error
 		if text, err = r.encode(text); err != nil {
@@ -208,18 +220,18 @@
 		t.Fatal(err)
 	}
 	clk.Advance(time.Second)
-	_, owed, _ := clockWAL(t, dir, clk)
+	_, pending, _ := openWALWithClock(t, dir, clk)
 	for id, want := range map[string]time.Duration{"a": 9 * time.Second, "b": 19 * time.Second} {
-		if left := clock.Until(clk, owed[id].Deadline); left != want {
+		if left := clock.Until(clk, pending[id].Deadline); left != want {
 			t.Errorf("%s: got %v until the deadline, want %v", id, left, want)
 		}
 	}
 }
 
 // A step of the wall clock adds one clock record to the log, before the next record that is written.
-func TestStepIsWrittenOnce(t *testing.T) {
+func TestWallClockStepIsWrittenOnce(t *testing.T) {
 	dir, clk := t.TempDir(), clock.NewManual(testReading())
-	w, _, _ := clockWAL(t, dir, clk)
+	w, _, _ := openWALWithClock(t, dir, clk)
 	clocks := func() int {
 		text, err := os.ReadFile(w.path)
 		if err != nil {
@@ -239,19 +251,19 @@
 	}
 	clk.Advance(time.Second) // after a reboot the step of an hour does not count as elapsed time
 	next := clock.NewManual(clock.Reading{Boot: "next", Now: 5e6, Wall: clk.Wall()})
-	_, owed, _ := clockWAL(t, dir, next)
-	if left := clock.Until(next, owed["a"].Deadline); left != 56*time.Second {
+	_, pending, _ := openWALWithClock(t, dir, next)
+	if left := clock.Until(next, pending["a"].Deadline); left != 56*time.Second {
 		t.Errorf("got %v until the deadline, want 56s", left)
 	}
 }
 
 // A log with Unix microseconds, as an earlier release wrote it, is converted.
-func TestUnixLogIsCarriedOver(t *testing.T) {
+func TestUnixLogIsConverted(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "unix-micro.wal"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		passed time.Duration
 		left   time.Duration // until the deadline of "untried", which was accepted with 20 s
 	}{
@@ -263,22 +275,25 @@
 			if err := os.WriteFile(filepath.Join(dir, walFileName), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			clk := clock.NewManual(clock.Reading{Boot: "boot", Now: 600e6, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
+			clk := clock.NewManual(clock.Reading{Boot: "boot", Now: 600e6,
+				Wall: fixtureWallTime + clock.UnixMicro(test.passed.Microseconds())})
 			for range 2 {
-				w, owed, _ := clockWAL(t, dir, clk)
-				if len(owed) != 4 || len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 {
-					t.Fatalf("recovered %d messages, %d ended ids, %d outages, want 4, 1, 1", len(owed), len(w.endedRecords()), len(w.outageRecords()))
+				w, pending, _ := openWALWithClock(t, dir, clk)
+				if len(pending) != 4 || len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 {
+					t.Fatalf("recovered %d messages, %d ended ids, %d outages, want 4, 1, 1", len(pending), len(w.endedRecords()),
+						len(w.outageRecords()))
 				}
-				if left := clock.Until(clk, owed["untried"].Deadline); left != x.left {
-					t.Errorf("got %v until the deadline, want %v", left, x.left)
+				if left := clock.Until(clk, pending["untried"].Deadline); left != test.left {
+					t.Errorf("got %v until the deadline, want %v", left, test.left)
 				}
-				if r := owed["keyed-in-doubt"]; !r.DedupWindowUnknown || r.Attempts != 1 || string(r.body) != "body of keyed-in-doubt" {
+				if r := pending["keyed-in-doubt"]; !r.DedupWindowUnknown || r.Attempts != 1 ||
+					string(r.body) != "body of keyed-in-doubt" {
 					t.Errorf("recovered %+v", r)
 				}
-				if r := owed["once-refused"]; r.DedupWindowUnknown || r.InDoubtSince != 0 || r.Attempts != 1 {
+				if r := pending["once-refused"]; r.DedupWindowUnknown || r.InDoubtSince != 0 || r.Attempts != 1 {
 					t.Errorf("recovered %+v", r)
 				}
-				if r := owed["handed-back"]; r.Notice != endHandedBack || r.RetryMS != 250 {
+				if r := pending["handed-back"]; r.Notice != endHandedBack || r.RetryMS != 250 {
 					t.Errorf("recovered %+v", r)
 				}
 			}
@@ -287,13 +302,14 @@
 }
 
 // A message whose deduplication window is not known to be open is not sent again.
-func TestUnknownWindowIsClosed(t *testing.T) {
+func TestUnknownDedupWindowIsClosed(t *testing.T) {
 	r := testRelay(t)
 	rules := r.cfg.Policy.Classes[r.cfg.classes["keyed"]]
 	for unknown, want := range map[bool]bool{false: true, true: false} {
 		now := r.clock.Now()
-		rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Dest: 7, Rules: &rules, MaxAttempts: 8, Deadline: now.Add(testLimit),
-			At: now, Attempts: 1, InDoubtSince: now, DedupWindowUnknown: unknown}
+		rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Dest: 7, Rules: &rules, MaxAttempts: 8,
+			Deadline: now.Add(testLimit),
+			At:       now, Attempts: 1, InDoubtSince: now, DedupWindowUnknown: unknown}
 		r.restore([]*record{rec}, nil)
 		m, e := r.ids["m"], r.events[len(r.events)-1]
 		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
@@ -309,15 +325,15 @@
 
 // A predecessor of the earlier release sends only its policy time, without a clock reading. The new
 // process continues that policy time, and reads instants in records from the predecessor as wall-clock times.
-func TestHelloOfTheEarlierRelease(t *testing.T) {
+func TestHelloOfEarlierRelease(t *testing.T) {
 	r := testRelay(t)
-	const elders = decide.Time(3600e6 + 77e6)
-	r.joinPolicyClock(&handHello{Now: elders})
-	if r.now() != elders || r.policyTime(r.instant(elders+5)) != elders+5 {
-		t.Errorf("policy time is %d, want %d", r.now(), elders)
+	const predecessorNow = decide.Time(3600e6 + 77e6)
+	r.joinPolicyClock(&handHello{Now: predecessorNow})
+	if r.now() != predecessorNow || r.policyTime(r.instant(predecessorNow+5)) != predecessorNow+5 {
+		t.Errorf("policy time is %d, want %d", r.now(), predecessorNow)
 	}
 	reading := clock.Read(r.clock)
-	r.joinPolicyClock(&handHello{Now: 5e9, Clock: reading}) // this release: the delay of the message does not count
+	r.joinPolicyClock(&handHello{Now: 5e9, Clock: reading}) // this release: the delay of the hello does not count
 	r.clock.(*clock.Manual).Advance(time.Second)
 	if r.now() != 5e9+1e6 {
 		t.Errorf("policy time is %d after a second", r.now())
@@ -326,13 +342,13 @@
 
 // A step of the wall clock while a relay runs does not change when later messages end: a message that
 // is accepted after the step is ended by a notice neither before nor long after its deadline.
-func TestStepMovesNoDeadline(t *testing.T) {
+func TestWallClockStepKeepsDeadlines(t *testing.T) {
 	for name, step := range map[string]time.Duration{"2s ahead": 2 * time.Second, "2s back": -2 * time.Second,
 		"1h ahead": time.Hour, "1h back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			disc := newFakeDiscovery(t)
-			env := testConfig(t, disc, 3)
+			discovery := newFakeDiscovery(t)
+			env := testConfig(t, discovery, 3)
 			wall := newTestWallClock(t, env)
 			startChild(t, env)
 			wall.step(t, step)
@@ -342,11 +358,11 @@
 				t.Fatal(s)
 			}
 			for {
-				_, told := disc.notice("m")
+				_, notified := discovery.notice("m")
 				switch waited := time.Since(handedIn); {
-				case told && waited < 1500*time.Millisecond:
+				case notified && waited < 1500*time.Millisecond:
 					t.Fatalf("the notice came after %v, before the deadline", waited)
-				case told:
+				case notified:
 					return
 				case waited > 4500*time.Millisecond:
 					t.Fatalf("no notice after %v", waited)
@@ -359,7 +375,7 @@
 
 // After a reboot of the machine a message without attempts is sent, and one that may have run is not
 // sent again, since its deduplication window is not known to be open.
-func TestRestartAfterAnotherBoot(t *testing.T) {
+func TestRestartAfterReboot(t *testing.T) {
 	endpoint := newFakeEndpoint(t, hang)
 	drained := endpoint.member("s-2", otherDest)
 	drained.Phase = phaseDraining
--- a/internal/relay/walescape_test.go
+++ b/internal/relay/walescape_test.go
@@ -9,8 +9,9 @@
 )
 
 // Any body is read from the log as it was written, and its encoded form contains no marker.
-func TestBodiesHoldNoMarks(t *testing.T) {
-	pieces := rapid.SampledFrom([]string{recordMarker, recordMarker[:1], recordMarker[1:], "\x00", "x", "\xf7\x00TRW", "TR"})
+func TestEncodedBodiesHoldNoMarkers(t *testing.T) {
+	pieces := rapid.SampledFrom([]string{recordMarker, recordMarker[:1], recordMarker[1:], "\x00", "x", "\xf7\x00TRW",
+		"TR"})
 	rapid.Check(t, func(t *rapid.T) {
 		body := []byte(strings.Join(rapid.SliceOf(pieces).Draw(t, "pieces"), ""))
 		text, err := (&record{Kind: recordAccepted, ID: "m", body: body}).encode(nil)
@@ -31,18 +32,18 @@
 }
 
 // A valid record inside a body is never read as a record, wherever the log is cut or damaged.
-func TestRecordInABodyIsNoRecord(t *testing.T) {
-	inner, err := taken("ghost", "never handed in").encode(nil)
+func TestRecordInBodyIsNotReplayed(t *testing.T) {
+	inner, err := acceptedRecord("ghost", "never handed in").encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	outer := taken("m", "before"+string(inner)+"behind")
+	outer := acceptedRecord("m", "before"+string(inner)+"behind")
 	text, err := outer.encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for cut := 1; cut < len(text); cut++ {
-		w := fuzzLog()
+		w := newFuzzWAL()
 		w.replay(text[:cut])
 		if len(w.pending) != 0 {
 			t.Fatalf("cut at %d of %d: got %d records, want 0", cut, len(text), len(w.pending))
@@ -51,13 +52,13 @@
 	for at := range text {
 		damaged := bytes.Clone(text)
 		damaged[at] ^= 0x20
-		w := fuzzLog()
+		w := newFuzzWAL()
 		w.replay(damaged)
 		if w.pending["ghost"] != nil {
 			t.Fatalf("damaged at %d: the record inside the body was replayed", at)
 		}
 	}
-	w := fuzzLog()
+	w := newFuzzWAL()
 	w.replay(text)
 	if r := w.pending["m"]; r == nil || !bytes.Equal(r.rec.body, outer.body) {
 		t.Error("the undamaged record was not replayed")
