--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -233,6 +233,7 @@
 	reservedBytes int64
 }
 
+// newWAL returns an empty log without a file.
 func newWAL(limitBytes int64, clk clock.Clock, log *slog.Logger) *wal {
 	return &wal{limitBytes: limitBytes, clock: clk, log: log,
 		pending: map[string]*liveRecord{}, outagesByEndpoint: map[string]*liveRecord{},
@@ -544,6 +545,7 @@
 	return size
 }
 
+// bySequence returns the records in the order in which they were first seen.
 func bySequence(records map[string]*liveRecord) []*liveRecord {
 	sorted := make([]*liveRecord, 0, len(records))
 	for _, live := range records {
@@ -596,6 +598,7 @@
 // submit queues a record to be written. It never blocks.
 func (w *wal) submit(rec *record, onDone func(error)) { w.queue.put(walOp{rec: rec, onDone: onDone}) }
 
+// start starts the goroutine of the log.
 func (w *wal) start() {
 	w.stop, w.done = make(chan struct{}), make(chan struct{})
 	go w.run(w.stop)
--- a/internal/relay/walhealth.go
+++ b/internal/relay/walhealth.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// notifyFailing calls onChange with the current state.
 func (w *wal) notifyFailing() {
 	if w.health.onChange != nil {
 		w.health.onChange(w.health.failing)
