--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -79,7 +79,7 @@
 	if !isHeaderToken(id) {
 		return nil, errors.New("id: empty, too long or not plain")
 	}
-	request := &putRequest{record: &record{Kind: recTaken, ID: id, body: args[4]}, reply: make(chan string, 1)}
+	request := &putRequest{record: &record{Kind: recordAccepted, ID: id, body: args[4]}, reply: make(chan string, 1)}
 	values := map[string]string{}
 	for field := range strings.SplitSeq(string(args[3]), ",") {
 		name, value, ok := strings.Cut(field, "=")
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -15,36 +15,36 @@
 	"time"
 )
 
-// controlEnv names the file by which a test tells a child how its state folder fails.
-const controlEnv = "TROUTUSHER_TEST_FOLDER"
+// folderControlEnv is the environment variable with the path of the file that controls a child's folder faults.
+const folderControlEnv = "TROUTUSHER_TEST_FOLDER"
 
-// childFolder is the state folder that a child is given; nil for the real one.
+// childFolder returns the faulty state folder for a child process, or nil for the real one.
 func childFolder() logFolder {
-	if control := os.Getenv(controlEnv); control != "" {
-		return controlledFolder(control)
+	if controlPath := os.Getenv(folderControlEnv); controlPath != "" {
+		return newControlledFolder(controlPath)
 	}
 	return nil
 }
 
-// folderControl tells a child how its folder fails.
+// folderControl sets the folder faults of a child process.
 type folderControl struct {
 	t    *testing.T
 	path string
 }
 
-func controlFolder(t *testing.T, env map[string]string) *folderControl {
+func newFolderControl(t *testing.T, env map[string]string) *folderControl {
 	c := &folderControl{t, filepath.Join(t.TempDir(), "control")}
-	env[controlEnv] = c.path
+	env[folderControlEnv] = c.path
 	return c
 }
 
-func (c *folderControl) fail(word string, operations ...folderOperation) {
+func (c *folderControl) fail(errorName string, operations ...folderOperation) {
 	c.t.Helper()
 	text := ""
 	for _, operation := range operations {
-		text += string(operation) + " " + word + "\n"
+		text += string(operation) + " " + errorName + "\n"
 	}
-	// The child reads the file at any moment.
+	// The child may read the file at any time, so it is replaced in one step.
 	if err := os.WriteFile(c.path+".new", []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
@@ -55,75 +55,75 @@
 
 func (c *folderControl) heal() { c.fail("") }
 
-// lines collects what a child logs.
-type lines struct {
+// childLog collects the log output of a child.
+type childLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *childLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	os.Stderr.Write(p)
 	return l.text.Write(p)
 }
 
-func (l *lines) count(words string) int {
+func (l *childLog) count(substring string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), words)
+	return strings.Count(l.text.String(), substring)
 }
 
-// startLoggedChild starts a child and keeps what it logs.
-func startLoggedChild(t *testing.T, env map[string]string) (*child, *lines) {
+// startLoggedChild starts a child and collects its log output.
+func startLoggedChild(t *testing.T, env map[string]string) (*child, *childLog) {
 	t.Helper()
 	c, logged := launchLoggedChild(t, env)
 	c.ready(t)
 	return c, logged
 }
 
-func mustBeBusy(t *testing.T, answer string) {
+func expectBusy(t *testing.T, reply string) {
 	t.Helper()
-	word, ms, _ := strings.Cut(answer, " ")
+	word, ms, _ := strings.Cut(reply, " ")
 	if n, err := strconv.Atoi(ms); word != "-BUSY" || err != nil || n <= 0 {
-		t.Errorf("answered %q, want -BUSY and a time", answer)
+		t.Errorf("got reply %q, want -BUSY and a delay", reply)
 	}
 }
 
-func logText(env map[string]string) string {
-	text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walName))
+func readLogText(env map[string]string) string {
+	text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
 	return string(text)
 }
 
-// Guards what was taken on and what is refused while the state folder fails under a running relay,
-// and a kill right after it works again.
-func TestFolderFailsUnderway(t *testing.T) {
-	for _, x := range []struct {
-		word       string
+// While the state folder fails under a running relay, new messages are refused and accepted ones are
+// neither lost nor sent without a record where that is unsafe. A kill follows after the folder works again.
+func TestFolderFailsWhileRunning(t *testing.T) {
+	for _, test := range []struct {
+		errorName  string
 		operations []folderOperation
 	}{
 		{"ENOSPC", []folderOperation{opWrite}},
-		{"EIO", changesFolder},
+		{"EIO", modifyingOperations},
 	} {
-		t.Run(x.word, func(t *testing.T) {
+		t.Run(test.errorName, func(t *testing.T) {
 			refusing := status(http.StatusServiceUnavailable)
 			safe, unsafe := newFakeEndpoint(t, refusing), newFakeEndpoint(t, refusing)
 			held := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2), held.member("s-3", 3))
 			env := testConfig(t, disc, 3)
 			rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
-			control := controlFolder(t, env)
+			control := newFolderControl(t, env)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
 			for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
 				if s := client.put(id, f, nil); s != "+OK" {
-					t.Fatalf("%s: %s", id, s)
+					t.Fatalf("%s: got reply %q, want +OK", id, s)
 				}
 			}
 			waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
-			control.fail(x.word, x.operations...)
+			control.fail(test.errorName, test.operations...)
 			for i := range 20 {
-				mustBeBusy(t, client.put("refused"+strconv.Itoa(i), fields("plain", 20000, 3), nil))
+				expectBusy(t, client.put("refused"+strconv.Itoa(i), fields("plain", 20000, 3), nil))
 			}
 			before := unsafe.count("unsafe")
 			for _, e := range []*fakeEndpoint{safe, unsafe} {
@@ -131,153 +131,162 @@
 			}
 			sent := safe.count("safe")
 			waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
-			time.Sleep(500 * time.Millisecond) // an attempt that must not be made cannot be waited for
+			time.Sleep(500 * time.Millisecond) // long enough for an attempt that must not be made
 			if n := unsafe.count("unsafe"); n != before {
-				t.Errorf("an unsafe message went out %d times without a record", n-before)
+				t.Errorf("the unsafe message was sent %d times without a record, want 0", n-before)
 			}
 			delivered := safe.count("safe")
 			control.heal()
-			waitFor(t, "new work", func() bool { return client.put("new", fields("plain", 20000, 3), nil) == "+OK" })
+			waitFor(t, "a new message to be accepted",
+				func() bool { return client.put("new", fields("plain", 20000, 3), nil) == "+OK" })
 			waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
-			waitFor(t, "its end in the log", func() bool { return strings.Contains(logText(env), `"kind":"end","id":"unsafe"`) })
-			waitFor(t, "the end of the new one", func() bool { return strings.Contains(logText(env), `"kind":"end","id":"new"`) })
+			waitFor(t, "the end of the unsafe message in the log",
+				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"unsafe"`) })
+			waitFor(t, "the end of the new message in the log",
+				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"new"`) })
 			c.kill()
 			if logged.count("state folder: failing") != 1 || logged.count("state folder: works again") != 1 {
-				t.Errorf("logged %d times that it fails, %d times that it works", logged.count("state folder: failing"),
+				t.Errorf("failure logged %d times, its end %d times, want 1 each", logged.count("state folder: failing"),
 					logged.count("state folder: works again"))
 			}
-			again := startChild(t, env)
+			next := startChild(t, env)
 			client = dialClient(t, env["ROUTER_LISTEN"])
 			if s := client.put("later", fields("plain", 20000, 3), nil); s != "+OK" {
 				t.Fatal(s)
 			}
-			waitFor(t, "the next process's work", func() bool { return held.count("later") == 1 })
-			again.kill()
+			waitFor(t, "a call by the next process", func() bool { return held.count("later") == 1 })
+			next.kill()
 			if n := safe.count("safe"); n != delivered {
-				t.Errorf("the safe message went out %d times after it was delivered", n-delivered)
+				t.Errorf("the safe message was sent %d times after its delivery, want 0", n-delivered)
 			}
 			if n := unsafe.count("unsafe"); n != before+1 {
-				t.Errorf("the unsafe message went out %d times after it was held", n-before)
+				t.Errorf("the unsafe message was sent %d times after the folder worked again, want 1", n-before)
 			}
 			if n := held.count("new"); n != 1 {
-				t.Errorf("the new message went out %d times", n)
+				t.Errorf("the new message was sent %d times, want 1", n)
 			}
 			for i := range 20 {
 				if n := held.count("refused" + strconv.Itoa(i)); n != 0 {
-					t.Errorf("a refused message went out %d times", n)
+					t.Errorf("a refused message was sent %d times, want 0", n)
 				}
 			}
 			for _, id := range []string{"safe", "unsafe", "new"} {
 				if n, ok := disc.notice(id); ok {
-					t.Errorf("%s was delivered and has an end besides: %+v", id, n)
+					t.Errorf("%s was delivered and also has a notice: %+v", id, n)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a kill at the very moment at which the folder works again: what was delivered meanwhile
-// and may be repeated may be delivered again, what may not is neither sent twice nor ended twice.
-func TestKilledAsTheFolderHeals(t *testing.T) {
+// The relay is killed just as the folder works again. A message that was delivered meanwhile and is safe
+// to repeat may be delivered again. One that is not safe is neither sent twice nor ended twice.
+func TestKilledAsFolderRecovers(t *testing.T) {
 	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
 	unsafe.then(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
 	disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2))
 	env := testConfig(t, disc, 3)
-	control := controlFolder(t, env)
+	control := newFolderControl(t, env)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "out": fields("once", 20000, 2)} {
 		if s := client.put(id, f, nil); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+			t.Fatalf("%s: got reply %q, want +OK", id, s)
 		}
 	}
 	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("out") == 1 })
-	control.fail("EIO", changesFolder...)
-	mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+	control.fail("EIO", modifyingOperations...)
+	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 	safe.then(nil)
 	sent := safe.count("safe")
 	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
 	control.heal()
 	c.kill()
 	startChild(t, env)
-	waitFor(t, "the end of the unsafe one", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
+	waitFor(t, "the notice about the unsafe message",
+		func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
 	if n := unsafe.count("out"); n != 1 {
-		t.Errorf("the unsafe message went out %d times", n)
+		t.Errorf("the unsafe message was sent %d times, want 1", n)
 	}
 	if n := safe.count("refused"); n != 0 {
-		t.Errorf("a refused message went out %d times", n)
+		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
 	if _, ok := disc.notice("safe"); ok {
-		t.Error("a delivered message was ended besides")
+		t.Error("a delivered message also has a notice")
 	}
 }
 
-// Guards the start in a folder that cannot be read or written: the relay serves by refusing, says so in
-// one line, and takes up what is owed when the folder works.
-func TestStartsWithoutItsFolder(t *testing.T) {
-	ep := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
-	disc := newFakeDiscovery(t, ep.member("s-1", 1))
+// If the state folder is missing at the start, the relay refuses all messages and logs the failure in
+// one line. Once the folder is back it resumes the pending messages.
+func TestStartsWithoutFolder(t *testing.T) {
+	endpoint := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
 	env := testConfig(t, disc, 3)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	if s := client.put("owed", fields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "an attempt", func() bool { return ep.count("owed") > 0 })
+	waitFor(t, "an attempt", func() bool { return endpoint.count("owed") > 0 })
 	c.kill()
-	away := env["ROUTER_STATE"] + ".away"
-	if err := os.Rename(env["ROUTER_STATE"], away); err != nil {
+	movedFolder := env["ROUTER_STATE"] + ".away"
+	if err := os.Rename(env["ROUTER_STATE"], movedFolder); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(env["ROUTER_STATE"], nil, 0o600); err != nil { // a file in the place of the folder
+	if err := os.WriteFile(env["ROUTER_STATE"], nil, 0o600); err != nil { // a file in place of the folder
 		t.Fatal(err)
 	}
-	before := ep.count("owed")
+	before := endpoint.count("owed")
 	_, logged := startLoggedChild(t, env)
 	client = dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"owed", "new"} {
-		mustBeBusy(t, client.put(id, fields("plain", 20000, 1), nil))
+		expectBusy(t, client.put(id, fields("plain", 20000, 1), nil))
 	}
-	time.Sleep(2 * folderRetry) // further tries say nothing
+	time.Sleep(2 * folderRetry) // further retries log nothing
 	if n := logged.count("state folder: failing"); n != 1 || logged.count("folder="+env["ROUTER_STATE"]) != 1 {
-		t.Errorf("the folder was said to fail %d times", n)
+		t.Errorf("failure of the folder logged %d times, want 1 with its path", n)
 	}
-	if err := errors.Join(os.Remove(env["ROUTER_STATE"]), os.Rename(away, env["ROUTER_STATE"])); err != nil {
+	if err := errors.Join(os.Remove(env["ROUTER_STATE"]), os.Rename(movedFolder, env["ROUTER_STATE"])); err != nil {
 		t.Fatal(err)
 	}
-	ep.then(nil)
-	waitFor(t, "what is owed", func() bool { return ep.count("owed") > before })
-	waitFor(t, "new work", func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-	waitFor(t, "its call", func() bool { return ep.count("new") == 1 })
+	endpoint.then(nil)
+	waitFor(t, "a call of the pending message", func() bool { return endpoint.count("owed") > before })
+	waitFor(t, "a new message to be accepted",
+		func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
+	waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
 	if logged.count("state folder: failing") != 1 || logged.count("state folder: works again") != 1 {
-		t.Error("not one line each")
+		t.Error("want one log line for the failure and one for its end")
 	}
-	if n := ep.count("owed") - before; n != 1 {
-		t.Errorf("what was owed was delivered %d times", n)
+	if n := endpoint.count("owed") - before; n != 1 {
+		t.Errorf("the pending message was delivered %d times, want 1", n)
 	}
 }
 
-// Guards the start where logs cannot be read or locked for a while, or nothing can be written.
-func TestStartsInAFailingFolder(t *testing.T) {
+// A relay that starts while logs cannot be locked, listed, read or written refuses messages until the
+// folder works, and then serves.
+func TestStartsInFailingFolder(t *testing.T) {
 	for name, operations := range map[string][]folderOperation{
-		"locks": {opLock}, "list": {opList}, "read": {opRead}, "write": changesFolder,
+		"locks": {opLock}, "list": {opList}, "read": {opRead}, "write": modifyingOperations,
 	} {
 		t.Run(name, func(t *testing.T) {
-			ep := newFakeEndpoint(t, nil)
-			disc := newFakeDiscovery(t, ep.member("s-1", 1))
+			endpoint := newFakeEndpoint(t, nil)
+			disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
 			env := testConfig(t, disc, 3)
-			startChild(t, env).kill() // leaves a log
-			control := controlFolder(t, env)
+			startChild(t, env).kill() // leaves a log behind
+			control := newFolderControl(t, env)
 			control.fail("EIO", operations...)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
-			mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+			expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 			control.heal()
-			waitFor(t, "new work", func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-			waitFor(t, "its call", func() bool { return ep.count("new") == 1 })
-			waitFor(t, "the end of the failure in the log", func() bool { return logged.count("state folder: works again") == 1 })
-			if logged.count("state folder: failing") != 1 || ep.count("refused") != 0 {
-				t.Errorf("logged %d times, refused one sent %d times", logged.count("state folder: failing"), ep.count("refused"))
+			waitFor(t, "a new message to be accepted",
+				func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
+			waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
+			waitFor(t, "the end of the failure in the log",
+				func() bool { return logged.count("state folder: works again") == 1 })
+			if logged.count("state folder: failing") != 1 || endpoint.count("refused") != 0 {
+				t.Errorf("failure logged %d times, want 1; refused message sent %d times, want 0",
+					logged.count("state folder: failing"), endpoint.count("refused"))
 			}
 			c.cmd.Process.Signal(syscall.SIGTERM)
 			if err := c.cmd.Wait(); err != nil {
@@ -287,8 +296,8 @@
 	}
 }
 
-// A relay that is told to end before its folder ever worked ends as planned.
-func TestEndsWithoutItsFolder(t *testing.T) {
+// A relay that receives SIGTERM before its folder ever worked exits without an error.
+func TestStopsWithoutFolder(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	if err := os.Remove(env["ROUTER_STATE"]); err != nil {
 		t.Fatal(err)
@@ -300,15 +309,16 @@
 	}
 }
 
-// Guards an upgrade while ends wait to be written: the log says less than the old process knows, so it is not
-// handed over. The new process serves beside it, and takes over what is left once the old one is gone.
-func TestUpgradeWhileTheFolderFails(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)), newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+// During an upgrade while records are postponed, the predecessor's log is incomplete, so it must not be handed over.
+// The successor serves beside the predecessor, and adopts its log once the predecessor has ended.
+func TestUpgradeWhileFolderFails(t *testing.T) {
+	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)),
+		newFakeEndpoint(t, status(http.StatusServiceUnavailable))
 	s := newSite(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
 	rewrite(t, s.env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
-	control := controlFolder(t, s.env)
-	start := func() (*child, *lines) {
-		logged := &lines{}
+	control := newFolderControl(t, s.env)
+	start := func() (*child, *childLog) {
+		logged := &childLog{}
 		c := &child{cmd: exec.Command(os.Args[0]), env: s.env}
 		c.cmd.ExtraFiles, c.cmd.Env, c.cmd.Stderr = []*os.File{s.socket}, []string{"ROUTER_SOCKET_FD=3"}, logged
 		c.launch(t)
@@ -318,42 +328,43 @@
 	old.ready(t)
 	client := dialClient(t, s.env["ROUTER_LISTEN"])
 	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
-		if answer := client.put(id, f, nil); answer != "+OK" {
-			t.Fatalf("%s: %s", id, answer)
+		if reply := client.put(id, f, nil); reply != "+OK" {
+			t.Fatalf("%s: got reply %q, want +OK", id, reply)
 		}
 	}
 	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
-	control.fail("EIO", changesFolder...)
-	mustBeBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+	control.fail("EIO", modifyingOperations...)
+	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
 	safe.then(nil)
 	sent := safe.count("safe")
 	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
 	delivered := safe.count("safe")
 	_, logged := start()
-	waitFor(t, "the hand-over to be refused", func() bool { return logged.count("the old process does not hand over") == 1 })
+	waitFor(t, "the hand-over to be refused",
+		func() bool { return logged.count("the old process does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
 	before := unsafe.count("unsafe")
 	unsafe.then(nil)
 	control.heal()
-	for _, l := range []*lines{oldLogged, logged} {
-		waitFor(t, "a folder that works", func() bool { return l.count("state folder: works again") == 1 })
+	for _, l := range []*childLog{oldLogged, logged} {
+		waitFor(t, "the folder to work again", func() bool { return l.count("state folder: works again") == 1 })
 	}
 	waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
 	old.kill()
 	client = dialClient(t, s.env["ROUTER_LISTEN"])
-	if answer := client.put("later", fields("plain", 20000, 1), nil); answer != "+OK" {
-		t.Fatal(answer)
+	if reply := client.put("later", fields("plain", 20000, 1), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
-	waitFor(t, "the new process's work", func() bool { return safe.count("later") == 1 })
-	left := filepath.Join(s.env["ROUTER_STATE"], walName)
-	waitFor(t, "the old one's log to be taken over", func() bool { _, err := os.Stat(left); return err != nil })
+	waitFor(t, "a call by the new process", func() bool { return safe.count("later") == 1 })
+	left := filepath.Join(s.env["ROUTER_STATE"], walFileName)
+	waitFor(t, "the old process's log to be adopted", func() bool { _, err := os.Stat(left); return err != nil })
 	if n := unsafe.count("unsafe") - before; n != 1 {
-		t.Errorf("the unsafe message was delivered %d times", n)
+		t.Errorf("the unsafe message was delivered %d times, want 1", n)
 	}
 	if n := safe.count("safe") - delivered; n != 0 {
-		t.Errorf("the safe message went out %d times after it was delivered", n)
+		t.Errorf("the safe message was sent %d times after its delivery, want 0", n)
 	}
 	if n := safe.count("refused"); n != 0 {
-		t.Errorf("a refused message went out %d times", n)
+		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
 }
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -196,7 +196,7 @@
 		ep.hostPort, ep.dest = hostPort, listed.Dest
 	}
 	p := r.directory.Place(listed.Place)
-	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), zoneNameMost)], 1, false
+	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), maxZoneNameBytes)], 1, false
 	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[i]
 		ep.maxBatch, ep.separateRoute = max(kind.Batch, 1), kind.Apart
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -16,7 +16,7 @@
 	if ep == nil || ep.id == "" {
 		return
 	}
-	rec := &record{Kind: recOutage, ID: ep.id}
+	rec := &record{Kind: recordOutage, ID: ep.id}
 	if outage, ok := r.policy.Outage(num); ok {
 		outage = convertOutageTimes(outage, func(t decide.Time) decide.Time { return decide.Time(r.instant(t)) })
 		outage.Endpoint = 0 // the number is valid in this process only
