--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -72,7 +72,7 @@
 		list := make([]decide.Entry, len(e.Entries))
 		for i, x := range e.Entries {
 			list[i] = decide.Entry{Endpoint: decide.Endpoint(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
-				Dest: int(x.Dest), State: decide.Readiness(x.State), Rate: float64(x.Nominal)}
+				Dest: int(x.Dest), State: decide.EndpointState(x.State), Rate: float64(x.Nominal)}
 		}
 		h.lists[e.Sheet] = list
 		return nil
@@ -106,18 +106,18 @@
 }
 
 var outcomes = map[uint8]decide.Outcome{wire.StatusOK: decide.Delivered, wire.StatusError: decide.Errored,
-	wire.StatusFull: decide.Full, wire.StatusLate: decide.TimedOut, wire.StatusNoConn: decide.NoConnect,
+	wire.StatusFull: decide.Rejected, wire.StatusLate: decide.TimedOut, wire.StatusNoConn: decide.ConnectFailed,
 	wire.StatusReset: decide.Reset, wire.StatusCancel: decide.Cancelled, wire.StatusMoot: decide.NotSent}
 
-var listNews = map[uint8]decide.ListNews{wire.SyncDelta: decide.ListChange, wire.SyncFull: decide.ListFull,
+var listNews = map[uint8]decide.ListUpdate{wire.SyncDelta: decide.ListDelta, wire.SyncFull: decide.ListFull,
 	wire.SyncCached: decide.ListCached, wire.SyncFailed: decide.ListFailed}
 
 // event maps a record to the interface's words.
 func (h *host) event(r *relay, e *wire.Event) (decide.Event, bool) {
 	ev := decide.Event{Message: e.Ticket, Endpoint: decide.Endpoint(e.Endpoint), Attempt: int(e.Attempt),
-		Took: decide.Time(e.Took), Outcome: outcomes[e.Status]}
+		Duration: decide.Time(e.Took), Outcome: outcomes[e.Status]}
 	if e.Reports > 0 {
-		ev.Load = decide.Load{Left: value(e, r.left), Limit: value(e, r.to)}
+		ev.Load = decide.Load{Remaining: value(e, r.left), Limit: value(e, r.to)}
 	}
 	switch e.Code {
 	case wire.EvSync:
@@ -126,27 +126,27 @@
 			ev.Entries = h.lists[e.Sheet]
 		}
 	case wire.EvCall:
-		ev.Kind, ev.Key, ev.Left, ev.Class = decide.EvMessage, e.Subject, decide.Time(e.Grace), int(e.Class)
+		ev.Kind, ev.Key, ev.TimeLeft, ev.Class = decide.EvMessage, e.Subject, decide.Time(e.Grace), int(e.Class)
 		ev.Dest, ev.Tenant = int(e.Dest), int(e.Tenant)
 		if e.Flags&1 != 0 {
-			ev.Work = decide.Time(e.Estimate)
+			ev.EstimatedCost = decide.Time(e.Estimate)
 		}
 	case wire.EvBegun:
-		ev.Kind = decide.EvBegun
+		ev.Kind = decide.EvResponseStarted
 	case wire.EvResolved:
-		ev.Kind, ev.Settled = decide.EvOutcome, e.Settled
+		ev.Kind, ev.Final = decide.EvOutcome, e.Settled
 		switch ev.Outcome {
-		case decide.Full:
-			ev.Wait = decide.Time(e.Note) * 1000
+		case decide.Rejected:
+			ev.RetryAfter = decide.Time(e.Note) * 1000
 		case decide.NotSent:
-			ev.Slots = e.Note == 1
+			ev.NoFreeSlot = e.Note == 1
 		}
 	case wire.EvLapsed:
 		ev.Kind = decide.EvWithdraw
 	case wire.EvAlarm:
 		ev.Kind, ev.Token = decide.EvTimer, e.Token
 	case wire.EvHealth:
-		ev.Kind = decide.EvProbed
+		ev.Kind = decide.EvProbeResult
 	default:
 		return ev, false
 	}
@@ -163,7 +163,7 @@
 // action maps the interface's words to a record; false for what the simulator has no word for.
 func action(id uint16, a *decide.Action) (wire.Action, bool) {
 	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
-		At: uint64(a.At), Token: a.Token, Text: a.Text}
+		At: uint64(a.TimeoutAt), Token: a.Token, Text: a.Text}
 	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
 	switch a.Kind {
 	case decide.ActSend:
@@ -178,11 +178,11 @@
 		w.Code = wire.ActRemind
 	case decide.ActProbe:
 		w.Code = wire.ActProbe
-	case decide.ActClose:
+	case decide.ActCloseIdle:
 		w.Code = wire.ActClose
-	case decide.ActWatch:
+	case decide.ActWatchList:
 		w.Code, w.On = wire.ActListen, true
-	case decide.ActFetch:
+	case decide.ActFetchList:
 		w.Code = wire.ActRead
 	case decide.ActLog:
 		w.Code = wire.ActLog
--- a/decide/api.go
+++ b/decide/api.go
@@ -2,92 +2,140 @@
 
 import "fmt"
 
-// This file is the module's interface: settings, events and actions in the
-// domain's words. It holds no decision and no tuned value.
+// This file is the interface of the package: settings, events and actions. It makes no decision and holds no
+// tuning constant.
 
-// Time is a moment or a span in microseconds of the host's own clock.
+// Time is a moment or a duration in microseconds of the host's clock.
 type Time = int64
 
-// Endpoint names one endpoint of a destination; nothing can be read from it.
+// Endpoint identifies one endpoint of a destination. The value is opaque.
 type Endpoint uint64
 
-// Repeat says what a second run of a message of a class would do.
-type Repeat uint8
+// Idempotency says what a second run of a message of a class would do. Its numbers are stored.
+type Idempotency uint8
 
-// Kinds of repeat.
+// Values of Idempotency.
 const (
-	Safe   Repeat = iota // may run any number of times
-	Keyed                // the destination drops repeats inside the class's window
-	Unsafe               // must never run twice
+	// Idempotent messages may run any number of times.
+	Idempotent Idempotency = iota
+	// Deduplicated messages carry a key by which the destination drops duplicates within the class's window.
+	Deduplicated
+	// NonIdempotent messages must never run twice.
+	NonIdempotent
 )
 
-// Class is one class of message.
+// Class is one class of message. It is stored as JSON under the original field names.
 type Class struct {
-	Name        string
-	Aim         Time // delivered within this, it earns its full worth
-	Deadline    Time // after this it earns nothing and must have been answered
-	Worth       float64
-	LateWorth   float64 // share of the worth left at the deadline
-	Repeat      Repeat
-	DedupWindow Time // Keyed only: counted from the send of the first attempt that may have run
-	ZoneOnly    bool // Keyed only: only endpoints of one zone share the memory of keys
-	InOrder     bool // messages of one key go one at a time, in order of arrival
+	Name string
+	// TargetTime is the time after arrival until which a delivery earns the full worth.
+	TargetTime Time `json:"Aim"`
+	// Deadline is the time after arrival by which the client must have its reply; later deliveries earn
+	// nothing.
+	Deadline Time
+	// Worth is what a delivery within the target time earns.
+	Worth float64
+	// LateWorth is the share of the worth that is left at the deadline.
+	LateWorth float64
+	// Idempotency says whether a message may run twice.
+	Idempotency Idempotency `json:"Repeat"`
+	// DedupWindow applies to Deduplicated only: how long the destination recognizes a duplicate, counted from
+	// the send of the first attempt that may have run.
+	DedupWindow Time
+	// DedupByZone applies to Deduplicated only: the endpoints of a zone share the record of seen keys, those
+	// of different zones do not.
+	DedupByZone bool `json:"ZoneOnly"`
+	// InOrder makes messages with the same key go one at a time, in order of arrival.
+	InOrder bool
 }
 
-// Tenant is one of those who share the relay.
+// Tenant is one of the tenants that share the relay.
 type Tenant struct {
-	Name  string
-	Quota float64 // messages a second over all relays inside its share; 0 for none
+	Name string
+	// Quota is the tenant's share in messages a second over all relays; 0 means no quota.
+	Quota float64
 }
 
-// Kind is a kind of destination.
-type Kind struct {
-	Apart bool // its endpoints are separate routes, each with its own limit and outages
-	Batch int  // messages that may travel in one call; 0 means 1
+// DestKind is a kind of destination.
+type DestKind struct {
+	// SeparateLimits is set where each endpoint is a route with its own rate limit and its own outages.
+	SeparateLimits bool
+	// MaxBatch is how many messages may travel in one call; 0 means 1.
+	MaxBatch int
 }
 
-// Settings is what a relay is told at start, and may be told anew while it runs.
+// Settings configures a policy. It may be replaced while the policy runs.
 type Settings struct {
-	Relays         int // relays that share the destinations, this one included
-	Zone           int
-	Classes        []Class
-	Tenants        []Tenant
-	Kinds          []Kind
-	Slots          int // calls out at once
-	MaxHeld        int // messages held at once; 0 for no limit
-	MaxAttempts    int // attempts for one message; 0 for no limit
-	Halving        bool
-	OverShareWorth float64 // part of its worth that a message beyond its tenant's share keeps
-	WorthByWork    bool
-	RatesListed    bool    // list entries carry the calls a second that a destination takes
-	Probes         bool    // probes are allowed
-	Cancels        bool    // calling off an attempt is allowed
-	Copies         bool    // a message may have a second attempt out beside the first
-	RetryAfter     bool    // clients are given advice with a refusal
-	MaxRetryAfter  Time    // the longest advice that clients heed
-	AskForList     bool    // list changes come only when asked for
-	AskEvery       Time    // with AskForList: the longest a list counts as fresh without asking
-	ConnectTimeout Time    // 0 when unknown
-	KeepAlive      Time    // idle connections close after this; 0 when unknown
-	Streams        int     // calls that one connection carries at once; 0 means 1
-	Tick           Time    // events come at most this often; 0 when unknown
-	AnswerSlack    Time    // time past a deadline in which an answer still counts
-	DrainGrace     Time    // time after word of a drain in which sends must have ended
-	StartCapacity  float64 // share of capacity that a destination has at least after an outage
-	RampTime       Time    // by then at the latest it has all of it
-	OverloadFactor float64 // sent more than this many times what it can do ...
-	FallTime       Time    // ... for this long, a cold destination falls over
-	KeyRest        Time    // pause of a key in order after an attempt whose end is not sure
+	// Relays is the number of relays that share the destinations, this one included.
+	Relays int
+	// Zone is the zone of this relay.
+	Zone    int
+	Classes []Class
+	Tenants []Tenant
+	Kinds   []DestKind
+	// Slots is how many calls may be in flight at once.
+	Slots int
+	// MaxHeld is how many messages may be held at once; 0 means no limit.
+	MaxHeld int
+	// MaxAttempts is how many attempts a message may have; 0 means no limit.
+	MaxAttempts int
+	// WorthHalves makes the worth of a message halve with each target time that it is late, instead of
+	// falling linearly to the deadline; it does not fall below LateWorth.
+	WorthHalves bool
+	// OverShareWorth is the part of its worth that a message beyond its tenant's quota keeps.
+	OverShareWorth float64
+	// WorthByCost multiplies the worth of a message by its estimated cost.
+	WorthByCost bool
+	// RatesListed is set where list entries carry the calls a second that a destination accepts.
+	RatesListed bool
+	// MayProbe allows health probes.
+	MayProbe bool
+	// MayCancel allows an attempt to be cancelled.
+	MayCancel bool
+	// ParallelAttempts allows a message to have a second attempt in flight beside the first.
+	ParallelAttempts bool
+	// RetryAfter makes a refusal tell the client when to try again.
+	RetryAfter bool
+	// MaxRetryAfter is the longest such delay that clients observe.
+	MaxRetryAfter Time
+	// ListOnRequest is set where list changes arrive only after they have been asked for.
+	ListOnRequest bool
+	// ListMaxAge applies with ListOnRequest: how long a list counts as fresh without asking again.
+	ListMaxAge Time
+	// ConnectTimeout is the longest time to wait for a connection; 0 when it is unknown.
+	ConnectTimeout Time
+	// KeepAlive is the time after which idle connections close; 0 when it is unknown.
+	KeepAlive Time
+	// StreamsPerConn is how many calls one connection carries at once; 0 means 1.
+	StreamsPerConn int
+	// Tick is the shortest time between two steps; 0 when it is unknown.
+	Tick Time
+	// AnswerSlack is the time past its deadline in which the reply of a message still counts.
+	AnswerSlack Time
+	// DrainGrace is the time after the notice of a drain by which sends to the endpoint must have ended.
+	DrainGrace Time
+	// StartCapacity is the least share of its capacity that a destination has after an outage.
+	StartCapacity float64
+	// RampTime is the time after an outage by which a destination has its full capacity again.
+	RampTime Time
+	// OverloadFactor is the multiple of its current capacity that makes a recovering destination fail again
+	// if it is sent more than that for OverloadTime.
+	OverloadFactor float64
+	// OverloadTime is how long a recovering destination withstands calls beyond OverloadFactor.
+	OverloadTime Time
+	// OrderedKeyPause is how long a key of an ordered class pauses after an attempt without a response, which
+	// may still be running.
+	OrderedKeyPause Time
 }
 
-// Validate tells of values that cannot be; the error names the key.
+// Validate reports the first invalid value; the error names its field.
 func (s *Settings) Validate() error {
 	times := []struct {
 		key string
 		v   Time
-	}{{"MaxRetryAfter", s.MaxRetryAfter}, {"AskEvery", s.AskEvery}, {"ConnectTimeout", s.ConnectTimeout},
+	}{{"MaxRetryAfter", s.MaxRetryAfter}, {"ListMaxAge", s.ListMaxAge}, {"ConnectTimeout", s.ConnectTimeout},
 		{"KeepAlive", s.KeepAlive}, {"Tick", s.Tick}, {"AnswerSlack", s.AnswerSlack},
-		{"DrainGrace", s.DrainGrace}, {"RampTime", s.RampTime}, {"FallTime", s.FallTime}, {"KeyRest", s.KeyRest}}
+		{"DrainGrace", s.DrainGrace}, {"RampTime", s.RampTime}, {"OverloadTime", s.OverloadTime},
+		{"OrderedKeyPause", s.OrderedKeyPause}}
 	for _, t := range times {
 		if t.v < 0 {
 			return fmt.Errorf("%s: negative time %d", t.key, t.v)
@@ -97,7 +145,8 @@
 		key    string
 		v, min int
 	}{{"Relays", s.Relays, 1}, {"Slots", s.Slots, 1}, {"MaxHeld", s.MaxHeld, 0}, {"Zone", s.Zone, 0},
-		{"MaxAttempts", s.MaxAttempts, 0}, {"Streams", s.Streams, 0}, {"Classes", len(s.Classes), 1}}
+		{"MaxAttempts", s.MaxAttempts, 0}, {"StreamsPerConn", s.StreamsPerConn, 0},
+		{"Classes", len(s.Classes), 1}}
 	for _, c := range counts {
 		if c.v < c.min {
 			return fmt.Errorf("%s: %d, want at least %d", c.key, c.v, c.min)
@@ -106,10 +155,10 @@
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("Classes[%d]", i)
 		switch {
-		case c.Repeat > Unsafe:
-			return fmt.Errorf("%s.Repeat: unknown kind %d", key, c.Repeat)
-		case c.Aim < 0:
-			return fmt.Errorf("%s.Aim: negative time %d", key, c.Aim)
+		case c.Idempotency > NonIdempotent:
+			return fmt.Errorf("%s.Idempotency: unknown value %d", key, c.Idempotency)
+		case c.TargetTime < 0:
+			return fmt.Errorf("%s.TargetTime: negative time %d", key, c.TargetTime)
 		case c.Deadline <= 0:
 			return fmt.Errorf("%s.Deadline: %d, want above 0", key, c.Deadline)
 		case c.DedupWindow < 0:
@@ -126,8 +175,8 @@
 		}
 	}
 	for i, k := range s.Kinds {
-		if k.Batch < 0 {
-			return fmt.Errorf("Kinds[%d].Batch: %d, want 0 or more", i, k.Batch)
+		if k.MaxBatch < 0 {
+			return fmt.Errorf("Kinds[%d].MaxBatch: %d, want 0 or more", i, k.MaxBatch)
 		}
 	}
 	if !(s.StartCapacity >= 0 && s.StartCapacity <= 1) {
@@ -142,161 +191,216 @@
 	return nil
 }
 
-// EventKind says what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of event, each with the fields of Event that it uses.
+// Values of EventKind, each with the fields of Event that it uses.
 const (
-	EvList     EventKind = iota // news of the list: List, Entries
-	EvMessage                   // a new message: Message, Key, Left, Class, Dest, Tenant, Work, Tries, DoubtAt, DoubtIn, Rules, Most, OutOn, OutAt, Call
-	EvBegun                     // an answer has begun to flow: Message, Attempt
-	EvOutcome                   // an attempt is over: Message, Attempt, Endpoint, Outcome, Wait, Slots, Crowded, Took, Settled, Load
-	EvWithdraw                  // nobody wants the message any more: Message
-	EvTimer                     // a timer has come: Token
-	EvProbed                    // a probe was answered: Endpoint, Outcome, Took, Load
-	EvSettings                  // new settings bind from here on, for what comes: Settings
-	EvMemory                    // what another process of this relay remembered: Memory
-	EvRecords                   // whether attempts can be recorded before they are sent: Unrecorded
+	// EvList is an update of the list of endpoints: List, Entries.
+	EvList EventKind = iota
+	// EvMessage is a new message: Message, Key, TimeLeft, Class, Dest, Tenant, EstimatedCost, Attempts,
+	// MayHaveRunAt, MayHaveRunZone, OriginalClass, OriginalMaxAttempts, InFlightEndpoint, InFlightSince,
+	// InFlightCall.
+	EvMessage
+	// EvResponseStarted says that the response to an attempt has begun to arrive: Message, Attempt.
+	EvResponseStarted
+	// EvOutcome is the end of an attempt: Message, Attempt, Endpoint, Outcome, RetryAfter, NoFreeSlot,
+	// NoFreeConnection, Duration, Final, Load.
+	EvOutcome
+	// EvWithdraw says that the client no longer wants the message: Message.
+	EvWithdraw
+	// EvTimer says that a timer has fired: Token.
+	EvTimer
+	// EvProbeResult is the result of a probe: Endpoint, Outcome, Duration, Load.
+	EvProbeResult
+	// EvSettings replaces the settings for messages that arrive from here on: Settings.
+	EvSettings
+	// EvSnapshot carries what the predecessor process of this relay had learned: Snapshot.
+	EvSnapshot
+	// EvRecording says whether attempts can be recorded before they are sent: CannotRecord.
+	EvRecording
 )
 
-// ListNews says what an EvList holds.
-type ListNews uint8
+// ListUpdate says what an EvList carries.
+type ListUpdate uint8
 
-// Kinds of list news.
+// Values of ListUpdate.
 const (
-	ListChange ListNews = iota // only changed entries
-	ListFull                   // the whole list; what is not in it is gone
-	ListCached                 // the whole list as last had, maybe old
-	ListFailed                 // asking failed; the old list stands
+	// ListDelta carries only the changed entries.
+	ListDelta ListUpdate = iota
+	// ListFull carries the full list; endpoints that are not in it have been removed.
+	ListFull
+	// ListCached carries the last full list known, which may be out of date.
+	ListCached
+	// ListFailed says that the request failed; the current list stays in force.
+	ListFailed
 )
 
-// Readiness is what the list says of an endpoint.
-type Readiness uint8
+// EndpointState is the state of an endpoint in the list.
+type EndpointState uint8
 
-// States of an endpoint in the list.
+// Values of EndpointState.
 const (
-	Gone Readiness = iota
+	Removed EndpointState = iota
 	Ready
 	Draining
 )
 
-// Entry is a line of the list.
+// Entry is one entry of the list.
 type Entry struct {
 	Endpoint Endpoint
 	Zone     int
 	Kind     int
 	Dest     int
-	State    Readiness
-	Rate     float64 // calls a second that the destination (the route, where apart) takes from all relays
+	State    EndpointState
+	// Rate is the calls a second that the destination accepts from all relays together, or the endpoint alone
+	// where its kind has SeparateLimits.
+	Rate float64
 }
 
-// Directory knows what every destination has. Where the host has one, lists are
-// told as changes alone, and only what messages come for is kept here.
+// Directory lists the endpoints of every destination. Where the host has one, list updates carry changes
+// only, and the policy keeps state only for destinations that have messages.
 type Directory interface {
-	// Endpoints appends the entries of a destination to into, in the order in which
-	// they came on the list; none is Gone.
+	// Endpoints appends the entries of a destination to into, in the order of the list; none is Removed.
 	Endpoints(dest int, into []Entry) []Entry
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is how an attempt or a probe ended. Its numbers are stored.
 type Outcome uint8
 
-// Outcomes.
+// Values of Outcome.
 const (
-	Delivered  Outcome = iota
-	Errored            // answered with an error; may have run
-	Full               // turned away unseen; never ran
-	TimedOut           // no answer in time; may have run or still do so
-	NoConnect          // no connection in time; never ran
-	Reset              // the connection broke; may have run
-	Cancelled          // called off; may have run
-	NotSent            // never left the relay; never ran
-	numOutcome         // count of the outcomes
+	// Delivered: the endpoint accepted the message.
+	Delivered Outcome = iota
+	// Errored: the endpoint responded with an error; the attempt may have run.
+	Errored
+	// Rejected: the endpoint was at its limit and rejected the call before processing; it never ran.
+	Rejected
+	// TimedOut: no response arrived in time; the attempt may have run or may still run.
+	TimedOut
+	// ConnectFailed: no connection was established in time; the attempt never ran.
+	ConnectFailed
+	// Reset: the connection broke; the attempt may have run.
+	Reset
+	// Cancelled: the relay cancelled the attempt; it may have run.
+	Cancelled
+	// NotSent: the attempt never left the relay and never ran.
+	NotSent
+	outcomeCount // number of outcomes
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnect || o == NotSent }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
-// Load is a load report of an endpoint.
+// Load is the load report of an endpoint. It is stored as JSON under the original field names.
 type Load struct {
-	Left  float64 // share of the allowance left
-	Limit float64 // calls a second that the limit allows; 0 where none is told
+	// Remaining is the share of the rate limit that is left.
+	Remaining float64 `json:"Left"`
+	// Limit is the rate limit in calls a second; 0 where none is reported.
+	Limit float64
 }
 
-// Event is something that the relay tells its policy.
+// Event is an input of the policy. EventKind names the fields that each kind uses.
 type Event struct {
-	Kind     EventKind
-	List     ListNews
-	Outcome  Outcome
-	Settled  bool // EvOutcome: nothing more is owed for the message
-	Slots    bool // EvOutcome, NotSent: all slots were taken
-	Crowded  bool // EvOutcome, Full: for want of a connection there, whatever the destination takes
-	Attempt  int
-	Class    int
-	Dest     int
-	Tenant   int
-	Message  uint32
-	Endpoint Endpoint
-	Key      uint64 // 0 for none
-	Token    uint64
-	Left     Time // EvMessage: how long it may still be delivered
-	Work     Time // EvMessage: a guess of its cost; 0 for none
-	Wait     Time // EvOutcome: how long to wait; 0 when none is told
-	Took     Time
+	Kind    EventKind
+	List    ListUpdate
+	Outcome Outcome
+	// Final is set by EvOutcome when the message needs no further attempt and no further reply.
+	Final bool
+	// NoFreeSlot is set by EvOutcome with NotSent when all slots were taken.
+	NoFreeSlot bool
+	// NoFreeConnection is set by EvOutcome with Rejected when the endpoint had no connection free; this says
+	// nothing about the rate limit of the destination.
+	NoFreeConnection bool
+	Attempt          int
+	Class            int
+	Dest             int
+	Tenant           int
+	Message          uint32
+	Endpoint         Endpoint
+	// Key is the ordering key of the message; 0 means none.
+	Key   uint64
+	Token uint64
+	// TimeLeft is the time left until the deadline of the message.
+	TimeLeft Time
+	// EstimatedCost is an estimate of the processing cost of the message; 0 means none.
+	EstimatedCost Time
+	// RetryAfter is the time for which the endpoint asked not to be called; 0 means none.
+	RetryAfter Time
+	// Duration is how long the attempt or the probe took.
+	Duration Time
 	Load     Load
 	Entries  []Entry
 
-	// EvMessage, of a message that an earlier process took on: its attempts so
-	// far, the send of the first of them that may have run (0 for none) and its zone.
-	Tries   int
-	DoubtAt Time
-	DoubtIn int
-	// The rules it was taken on under, where the settings may say other ones by
-	// now: its class (nil for Settings.Classes[Class]) and its number of attempts.
-	Rules *Class
-	Most  int
+	// Attempts is set for a message that a predecessor process accepted: the number of its attempts so far.
+	Attempts int
+	// MayHaveRunAt is when the first of these attempts that may have run was sent; 0 means none.
+	MayHaveRunAt Time
+	// MayHaveRunZone is the zone of the endpoint of that attempt.
+	MayHaveRunZone int
+	// OriginalClass is the class under which a predecessor process accepted the message, since the settings
+	// may have changed; nil means Settings.Classes[Class].
+	OriginalClass *Class
+	// OriginalMaxAttempts is the limit of attempts that goes with OriginalClass.
+	OriginalMaxAttempts int
 
-	// Its attempt that is out, where another process made it: the endpoint (0 for
-	// none), when it left, and a number that the messages of its call share. Its
-	// outcome comes like any other.
-	OutOn Endpoint
-	OutAt Time
-	Call  uint64
+	// InFlightEndpoint is set where another process has an attempt of the message in flight: its endpoint, 0
+	// means none. The outcome arrives as for any other attempt.
+	InFlightEndpoint Endpoint
+	// InFlightSince is when that attempt was sent.
+	InFlightSince Time
+	// InFlightCall is a number that all messages of that call share.
+	InFlightCall uint64
 
 	Settings *Settings
-	Memory   *Memory
+	Snapshot *Snapshot
 
-	Unrecorded bool // EvRecords: they cannot
+	// CannotRecord is set by EvRecording while attempts cannot be recorded.
+	CannotRecord bool
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Kinds of action, each with the fields of Action that it uses.
+// Values of ActionKind, each with the fields of Action that it uses.
 const (
-	ActSend    ActionKind = iota // Message, Endpoint, At (the moment it times out)
-	ActRefuse                    // Message, After (advice to the client)
-	ActFail                      // Message
-	ActCancel                    // Message, Attempt
-	ActTimer                     // After, Token
-	ActProbe                     // Endpoint
-	ActClose                     // Endpoint: give back idle connections
-	ActWatch                     // subscribe to list changes
-	ActFetch                     // ask once for the whole list
-	ActLog                       // Text
-	ActOutage                    // Endpoint: what Policy.Outage tells of it has changed
-	ActRelease                   // Endpoint: nothing of it is kept here any more; only where a directory is asked
-	numActions                   // count of the kinds
+	// ActSend sends an attempt of a message: Message, Endpoint, TimeoutAt.
+	ActSend ActionKind = iota
+	// ActRefuse hands a message back to the client: Message, After (the delay before the client tries again).
+	ActRefuse
+	// ActFail gives up a message that may have run: Message.
+	ActFail
+	// ActCancel cancels an attempt: Message, Attempt.
+	ActCancel
+	// ActTimer requests an EvTimer: After, Token.
+	ActTimer
+	// ActProbe probes an endpoint: Endpoint.
+	ActProbe
+	// ActCloseIdle closes the idle connections of an endpoint: Endpoint.
+	ActCloseIdle
+	// ActWatchList subscribes to changes of the list.
+	ActWatchList
+	// ActFetchList requests the full list once.
+	ActFetchList
+	// ActLog writes a log line: Text.
+	ActLog
+	// ActOutage says that the result of Policy.Outage for an endpoint has changed: Endpoint.
+	ActOutage
+	// ActRelease says that the policy keeps no state of an endpoint any more: Endpoint. It occurs only with a
+	// Directory.
+	ActRelease
+	actionKindCount // number of kinds
 )
 
-// Action is something that the policy asks of its relay.
+// Action is a request of the policy to its relay. ActionKind names the fields that each kind uses.
 type Action struct {
 	Kind     ActionKind
 	Attempt  int
 	Message  uint32
 	Endpoint Endpoint
-	At       Time
-	After    Time
-	Token    uint64
-	Text     string
+	// TimeoutAt is when the attempt times out.
+	TimeoutAt Time
+	After     Time
+	Token     uint64
+	Text      string
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -17,7 +17,7 @@
 	memory    bool    // and are told what the process before remembered
 	unseen    float64 // share of the relays that had no message for it during the outage
 	batch     int
-	repeat    Repeat
+	repeat    Idempotency
 	waiting   float64 // messages that come during the outage beyond the usual, to what it would have taken meanwhile
 	load      float64 // calls that messages come for, to what it takes when warm; 0 for coldLoad
 	restarts  []Time  // moments inside the outage at which restarted of the relays, drawn anew, are started anew
@@ -146,10 +146,10 @@
 	s := one()
 	s.Relays, s.MaxHeld, s.Slots = d.relays, 1000, 60
 	x := d.terms()
-	s.StartCapacity, s.RampTime, s.FallTime, s.OverloadFactor = x.start, x.ramp, x.fall, x.factor
-	s.Kinds = []Kind{{Batch: max(d.batch, 1)}}
-	s.Copies = true
-	s.Classes[0].Repeat, s.Classes[0].DedupWindow = d.repeat, 10*second
+	s.StartCapacity, s.RampTime, s.OverloadTime, s.OverloadFactor = x.start, x.ramp, x.fall, x.factor
+	s.Kinds = []DestKind{{MaxBatch: max(d.batch, 1)}}
+	s.ParallelAttempts = true
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = d.repeat, 10*second
 	return s
 }
 
@@ -208,20 +208,20 @@
 				all[i] = start(i, lives)
 				all[i].blind, all[i].told, all[i].knew = old.blind, old.told, old.knew
 				if d.memory {
-					m := &Memory{}
-					for id := range old.p.eps {
+					m := &Snapshot{}
+					for id := range old.p.endpoints {
 						if o, ok := old.p.Outage(id); ok {
 							m.Outages = append(m.Outages, o)
 						}
 					}
-					all[i].events = append(all[i].events, Event{Kind: EvMemory, Memory: m})
+					all[i].events = append(all[i].events, Event{Kind: EvSnapshot, Snapshot: m})
 				}
-				for _, m := range old.p.live { // what it held is taken up again
+				for _, m := range old.p.unfinished { // what it held is taken up again
 					n := all[i].next
 					all[i].next++
-					e := Event{Kind: EvMessage, Message: n, Left: m.deadline - now, Tries: m.tries, DoubtAt: m.doubtAt,
-						Rules: &s.Classes[0], Most: s.MaxAttempts}
-					all[i].tries[n] = m.tries
+					e := Event{Kind: EvMessage, Message: n, TimeLeft: m.deadline - now, Attempts: m.attempts, MayHaveRunAt: m.mayHaveRunAt,
+						OriginalClass: &s.Classes[0], OriginalMaxAttempts: s.MaxAttempts}
+					all[i].tries[n] = m.attempts
 					all[i].events = append(all[i].events, e)
 				}
 			}
@@ -237,7 +237,7 @@
 					continue
 				}
 				count.messages++
-				r.events = append(r.events, Event{Kind: EvMessage, Message: r.next, Left: 12 * second})
+				r.events = append(r.events, Event{Kind: EvMessage, Message: r.next, TimeLeft: 12 * second})
 				r.next++
 			}
 		}
@@ -264,18 +264,18 @@
 					}
 				case ActSend:
 					e := answer(a, Delivered)
-					e.Attempt, e.Took = r.tries[a.Message], 90000
+					e.Attempt, e.Duration = r.tries[a.Message], 90000
 					r.tries[a.Message]++
 					if now >= out && now < back {
-						e.Outcome, e.Settled, e.Took = NoConnect, false, 0
+						e.Outcome, e.Final, e.Duration = ConnectFailed, false, 0
 						if a.Message%2 == 0 { // some hang, some are refused
-							e.Outcome, e.Took = TimedOut, a.At-now
+							e.Outcome, e.Duration = TimedOut, a.TimeoutAt-now
 						}
 					}
-					if e.Settled {
+					if e.Final {
 						count.delivered++
 					}
-					late := step + int(max(e.Took, coldTick)/coldTick)
+					late := step + int(max(e.Duration, coldTick)/coldTick)
 					due[late] = append(due[late], reply{r, e})
 					if r.told = r.told || e.Outcome != Delivered; now >= back && !called { // the messages of one call
 						calls = append(calls, coldCall{at: now, told: r.told, knew: r.knew})
@@ -302,7 +302,7 @@
 	for name, day := range map[string]coldDay{"all knew": {}, "half unseen": {unseen: 0.5},
 		"half restarted": {restarted: 0.5, memory: true}, "all restarted": {restarted: 1, memory: true},
 		"messages waiting": {waiting: 1}, "batches": {batch: 8}, "batches, half restarted": {batch: 8, restarted: 0.5, memory: true},
-		"batches waiting": {batch: 8, waiting: 1}, "keyed": {repeat: Keyed}} {
+		"batches waiting": {batch: 8, waiting: 1}, "keyed": {repeat: Deduplicated}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, relays := range []int{3, 20, 30, 300} {
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -6,137 +6,167 @@
 	"slices"
 )
 
-// Limits on what is out at once: windows, pace, slots, and connections kept idle.
+// Limits on calls in flight and on connections: windows, send rates, slots, and idle connections.
 
 const (
-	slotShare   = 0.75 // part of the slots that one destination may take
-	failShare   = 0.5  // the same while the destination fails
-	boostFall   = 0.2  // part of the pace that a refusal takes from a single relay
-	fallRoot    = 0.2  // the same of many, by this power: each hears of few of the refusals
-	boostRise   = 1.08 // pace after a success that the pace had kept waiting
-	leftRise    = 0.5  // share of the allowance left at which it may rise
-	boostLeast  = 0.6  // least factor on the pace, however many refusals
-	shareRoot   = 0.75 // a share is the rate over relays to this power: small streams need room
-	shareMost   = 1.4  // but no more than this times an even part: the room of many relays adds up
-	thinMost    = 1.6  // the same where the even part is so small that chance alone passes it
-	burstSpread = 1.65 // deviations of its own traffic that a relay may send at once
-	unsafeWait  = 4    // times as long a call of unsafe messages is waited for under slot pressure
-	noConnTight = 0.05 // share of calls without a connection above which connections are taken to run out
-	tightSpan   = 20   // calls over which that share is told
+	// maxSlotShare is the part of all slots that one destination may take.
+	maxSlotShare = 0.75
+	// maxSlotShareFailing is the same while calls to the destination fail.
+	maxSlotShareFailing = 0.5
+	// rejectionDecrease is the part of the rate factor that a rejection takes from a single relay. With
+	// many relays it grows with their number to the power of rejectionDecreaseExponent, since each sees few
+	// of the rejections; it is at most minRateFactor.
+	rejectionDecrease = 0.2
+	// rejectionDecreaseExponent is the exponent of that growth.
+	rejectionDecreaseExponent = 0.2
+	// rateIncreaseFactor multiplies the rate factor after a success, if the send rate had delayed the call.
+	rateIncreaseFactor = 1.08
+	// rateIncreaseMinRemaining is the share of the reported rate limit that must be left for the rate
+	// factor to rise.
+	rateIncreaseMinRemaining = 0.5
+	// minRateFactor is the least rate factor, however many rejections there are.
+	minRateFactor = 0.6
+	// rateShareExponent is the power of the number of relays by which the capacity is divided to give the
+	// share of one relay. The share is more than an even one, since small streams vary more.
+	rateShareExponent = 0.75
+	// maxRateShare is the limit of that share as a multiple of an even one, since the excess of many relays
+	// adds up.
+	maxRateShare = 1.4
+	// maxLowRateShare is the limit, as a multiple of an even share, where the even share is so small that
+	// chance alone exceeds it.
+	maxLowRateShare = 1.6
+	// burstDeviations is how many standard deviations of its own traffic a relay may send at once.
+	burstDeviations = 1.65
+	// nonIdempotentWaitFactor multiplies the wait for a call of non-idempotent messages under slot pressure.
+	nonIdempotentWaitFactor = 4
+	// scarceConnectionShare is the share of calls without a connection at which connections become scarce.
+	scarceConnectionShare = 0.05
+	// noConnectionSampleCalls is the number of calls over which that share is averaged.
+	noConnectionSampleCalls = 20
 )
 
-// capacity is the calls a second that the lane takes from all relays, by report, list or observation.
-func (p *Policy) capacity(l *lane) float64 {
-	return cmp.Or(l.limit, l.nominal, max(l.hist.acceptRate(p.now)*float64(p.set.Relays), 1))
+// capacity returns the calls a second that all relays together may send: as reported, listed or observed.
+func (p *Policy) capacity(l *limiter) float64 {
+	return cmp.Or(l.reportedLimit, l.nominalRate,
+		max(l.history.acceptRate(p.now)*float64(p.settings.Relays), 1))
 }
 
-// part is this relay's even part of that.
-func (p *Policy) part(l *lane) float64 { return p.capacity(l) / float64(p.set.Relays) }
+// evenShare returns the capacity divided evenly among the relays.
+func (p *Policy) evenShare(l *limiter) float64 { return p.capacity(l) / float64(p.settings.Relays) }
 
-// pace is the calls a second that this relay sends there at most.
-func (p *Policy) pace(l *lane) float64 {
-	if l.limit == 0 && l.nominal == 0 {
-		return float64(p.set.Slots) * 2
+// sendRate returns the calls a second that this relay may send through the limiter.
+func (p *Policy) sendRate(l *limiter) float64 {
+	if l.reportedLimit == 0 && l.nominalRate == 0 {
+		return float64(p.settings.Slots) * 2
 	}
-	whole := p.capacity(l)
-	return max(whole/p.share, min(math.Sqrt(whole)/2, thinMost*p.part(l))) * l.boost
+	capacity := p.capacity(l)
+	return max(capacity/p.rateShareDivisor,
+		min(math.Sqrt(capacity)/2, maxLowRateShare*p.evenShare(l))) * l.rateFactor
 }
 
-// depth is how many calls a lane may save up: as much as chance alone moves a second of what all relays
-// send there together, which the destination must stand anyway; but where relays are many, no more than
-// chance moves what this one sends there within an aim, since all of them may have saved up as much.
-func (p *Policy) depth(l *lane) float64 {
-	own := p.part(l) * float64(p.set.Classes[0].Aim) / float64(second)
-	return max(1, min(math.Sqrt(p.capacity(l)), 1+burstSpread*math.Sqrt(own)))
+// burst returns the burst size of the limiter's token bucket: one standard deviation of the calls that all
+// relays together send in a second, which the destination has to withstand anyway. With many relays it is
+// limited to the random variation of this relay's own calls within the target time, since all relays may
+// have full buckets.
+func (p *Policy) burst(l *limiter) float64 {
+	ownCalls := p.evenShare(l) * float64(p.settings.Classes[0].TargetTime) / float64(second)
+	return max(1, min(math.Sqrt(p.capacity(l)), 1+burstDeviations*math.Sqrt(ownCalls)))
 }
 
-// room: the window and the destination's part of the slots.
-func (p *Policy) room(l *lane) bool {
-	part := slotShare
+// hasConcurrency reports whether the window and the destination's share of the slots allow another call.
+func (p *Policy) hasConcurrency(l *limiter) bool {
+	share := maxSlotShare
 	if p.failing(l) {
-		part = failShare
+		share = maxSlotShareFailing
 	}
-	most := max(1, int(part*float64(p.set.Slots)))
-	return l.dest.flying < most && l.flying < max(1, int(l.window))
+	maxCalls := max(1, int(share*float64(p.settings.Slots)))
+	return l.dest.inFlight < maxCalls && l.inFlight < max(1, int(l.window))
 }
 
-// failing: an endpoint of the lane is out, or its calls failed lately.
-func (p *Policy) failing(l *lane) bool {
-	return slices.ContainsFunc(l.eps, func(ep *endpoint) bool { return ep.sick || ep.score >= 1-scoreKeep })
+// failing reports whether an endpoint of the limiter is ejected or has had a recent failure.
+func (p *Policy) failing(l *limiter) bool {
+	return slices.ContainsFunc(l.endpoints, func(ep *endpoint) bool {
+		return ep.ejected || ep.failureScore >= 1-scoreDecay
+	})
 }
 
-// paced: the lane has a token, and no refusal or drop keeps it resting.
-func (p *Policy) paced(l *lane) bool {
-	if l.pauseUntil > p.now {
+// hasToken reports whether the limiter has a token and is not backing off. It sets rateLimited if the send
+// rate delays a call.
+func (p *Policy) hasToken(l *limiter) bool {
+	if l.backoffUntil > p.now {
 		return false
 	}
-	rate := p.pace(l)
-	if l.tokens.level(p.now, rate, p.depth(l)) < 1 {
-		l.bound = true
+	rate := p.sendRate(l)
+	if l.bucket.refill(p.now, rate, p.burst(l)) < 1 {
+		l.rateLimited = true
 		return false
 	}
 	return true
 }
 
-// patience is how long a call usually takes there at most.
-func (p *Policy) patience(ep *endpoint) Time {
-	if ep.lat.n == 0 {
-		return 4 * p.usual(ep.lane.dest)
+// usualMaxLatency returns the time within which calls to the endpoint usually finish.
+func (p *Policy) usualMaxLatency(ep *endpoint) Time {
+	if ep.latency.samples == 0 {
+		return 4 * p.usualLatency(ep.limiter.dest)
 	}
-	return Time(4*ep.lat.mean + 4*ep.lat.dev)
+	return Time(4*ep.latency.mean + 4*ep.latency.deviation)
 }
 
-// overdue takes a call that has been out for longer than calls there take out of the window, and counts it as
-// timed out: an unsafe message, which cannot be tried again, is still waited for, but what never answers must
-// not keep the window shut for all the others. Its slot stays taken.
-func (p *Policy) overdue(c *call) {
-	if c.left == 0 {
+// markOverdue removes a call that is in flight for longer than usual from the window and counts it as timed
+// out. The relay still waits for a non-idempotent message, which cannot be retried, but a call without a
+// response must not block the window for all others. The call keeps its slot.
+func (p *Policy) markOverdue(c *call) {
+	if c.remaining == 0 {
 		return
 	}
-	c.late = true
-	c.ep.lane.flying--
-	if !c.noted {
+	c.overdue = true
+	c.endpoint.limiter.inFlight--
+	if !c.observed {
 		p.observe(c, &Event{Kind: EvOutcome, Outcome: TimedOut})
 	}
-	p.touch(c.ep.lane.dest)
+	p.markPending(c.endpoint.limiter.dest)
 }
 
-// review calls off a call that has been out for its patience while every slot was taken and messages waited
-// for as long: a time-out at the aim is right for a slot that nobody wants, not for the last one. It guards
-// against calls that hang here and there where others are answered, and against many slow ones at once. Harm:
-// work nearly done is done again. An unsafe message, which has no second try, is given longer.
-func (p *Policy) review(c *call) {
-	worn := p.patience(c.ep) + 1
-	if c.msgs[0].class.Repeat == Unsafe {
-		worn *= unsafeWait
+// cancelUnderSlotPressure cancels a call after its usual maximum latency if for that long every slot has
+// been taken and messages have waited: a timeout at the target time suits a slot that no message needs, not
+// the last one. It guards against single calls that hang where others finish, and against many slow calls
+// at once. The cost is that work which is nearly done is repeated. A non-idempotent message, which has no
+// retry, is given longer.
+func (p *Policy) cancelUnderSlotPressure(c *call) {
+	wait := p.usualMaxLatency(c.endpoint) + 1
+	if c.messages[0].class.Idempotency == NonIdempotent {
+		wait *= nonIdempotentWaitFactor
 	}
-	if at := max(c.sent, cmp.Or(p.pressed, p.now)) + worn; c.left > 0 && at > p.now {
-		p.later.add(at, func() { p.review(c) })
+	if cancelAt := max(c.sentAt, cmp.Or(p.slotsExhaustedSince, p.now)) + wait; c.remaining > 0 &&
+		cancelAt > p.now {
+		p.timers.add(cancelAt, func() { p.cancelUnderSlotPressure(c) })
 		return
 	}
-	for _, m := range c.msgs {
+	for _, m := range c.messages {
 		if m.call == c {
-			p.act(Action{Kind: ActCancel, Message: m.id, Attempt: m.tries - 1})
+			p.emit(Action{Kind: ActCancel, Message: m.id, Attempt: m.attempts - 1})
 		}
 	}
 }
 
-// keep is how long an idle connection is kept. Where connections are seen to run out, what all relays keep
-// idle at an endpoint together is to be no more than two would keep. Harm: more connections opened.
-func (p *Policy) keep(ep *endpoint) Time {
-	if p.tight[ep.lane.dest.kindAt] > noConnTight {
-		return p.set.KeepAlive * 2 / Time(max(p.set.Relays, 2))
+// idleTimeout returns how long an idle connection is kept. Where connections are scarce, all relays
+// together should keep no more idle connections at an endpoint than two relays would. The cost is that more
+// connections are opened.
+func (p *Policy) idleTimeout(ep *endpoint) Time {
+	if p.noConnectionShare[ep.limiter.dest.kindIndex] > scarceConnectionShare {
+		return p.settings.KeepAlive * 2 / Time(max(p.settings.Relays, 2))
 	}
-	return p.set.KeepAlive
+	return p.settings.KeepAlive
 }
 
-// giveBack closes the idle connections of an endpoint that has not been used since.
-func (p *Policy) giveBack(ep *endpoint) {
-	left := ep.idleAt + p.keep(ep) - p.now
-	if ep.watched = ep.flying == 0 && left > 0; ep.watched {
-		p.later.add(p.now+min(left, p.set.KeepAlive/8+1), func() { p.giveBack(ep) }) // keep may have changed
-	} else if ep.flying == 0 {
-		ep.conns = 0
-		p.act(Action{Kind: ActClose, Endpoint: ep.id})
+// closeIdle closes the idle connections of an endpoint once they have not been used for the idle timeout.
+func (p *Policy) closeIdle(ep *endpoint) {
+	remaining := ep.idleSince + p.idleTimeout(ep) - p.now
+	if ep.idleCheckPending = ep.inFlight == 0 && remaining > 0; ep.idleCheckPending {
+		// checked several times, since the timeout may change
+		p.timers.add(p.now+min(remaining, p.settings.KeepAlive/8+1), func() { p.closeIdle(ep) })
+	} else if ep.inFlight == 0 {
+		ep.connections = 0
+		p.emit(Action{Kind: ActCloseIdle, Endpoint: ep.id})
 	}
 }
--- a/decide/containers.go
+++ b/decide/containers.go
@@ -5,171 +5,176 @@
 	"math"
 )
 
-// Plain containers; all their sizes are passed in.
+// Data structures without policy; the caller passes all sizes.
 
-// counter counts requests and accepts over a rolling span.
-type counter struct {
-	width    Time
-	size     Time        // count of the bins
-	bins     [][2]uint32 // nil while nothing is in them
-	at       Time        // number of the newest bin
-	sum      [2]float64
-	started  Time
-	hasStart bool
+// rollingCounter counts requests and accepts over a sliding time window of fixed bins.
+type rollingCounter struct {
+	binWidth  Time
+	binCount  Time
+	bins      [][2]uint32 // requests and accepts of each bin; nil while all are zero
+	newestBin Time        // number of the newest bin since time 0
+	sums      [2]float64  // requests and accepts of all bins
+	startedAt Time
+	hasStart  bool
 }
 
-func newCounter(span Time, bins int) counter {
-	return counter{width: span / Time(bins), size: Time(bins)}
+func newRollingCounter(span Time, bins int) rollingCounter {
+	return rollingCounter{binWidth: span / Time(bins), binCount: Time(bins)}
 }
 
-func (c *counter) roll(now Time) {
-	n := now / c.width
+// advance drops the bins that have left the time window.
+func (c *rollingCounter) advance(now Time) {
+	bin := now / c.binWidth
 	if !c.hasStart {
-		c.hasStart, c.started, c.at = true, now, n
+		c.hasStart, c.startedAt, c.newestBin = true, now, bin
 	}
 	if c.bins == nil {
-		c.at = max(c.at, n)
+		c.newestBin = max(c.newestBin, bin)
 		return
 	}
-	for ; c.at < n; c.at++ {
-		if n-c.at > c.size {
-			c.at = n - c.size
+	for ; c.newestBin < bin; c.newestBin++ {
+		if bin-c.newestBin > c.binCount {
+			c.newestBin = bin - c.binCount
 		}
-		old := &c.bins[(c.at+1)%c.size]
-		c.sum[0] -= float64(old[0])
-		c.sum[1] -= float64(old[1])
-		*old = [2]uint32{}
+		oldest := &c.bins[(c.newestBin+1)%c.binCount]
+		c.sums[0] -= float64(oldest[0])
+		c.sums[1] -= float64(oldest[1])
+		*oldest = [2]uint32{}
 	}
 }
 
-func (c *counter) add(now Time, i int) {
-	if c.roll(now); c.bins == nil {
-		c.bins = make([][2]uint32, c.size)
+// add counts one request (column 0) or accept (column 1).
+func (c *rollingCounter) add(now Time, column int) {
+	if c.advance(now); c.bins == nil {
+		c.bins = make([][2]uint32, c.binCount)
 	}
-	c.bins[c.at%c.size][i]++
-	c.sum[i]++
+	c.bins[c.newestBin%c.binCount][column]++
+	c.sums[column]++
 }
 
-// trim gives the bins back where nothing is in them.
-func (c *counter) trim(now Time) {
+// releaseEmptyBins frees the bins if all are zero.
+func (c *rollingCounter) releaseEmptyBins(now Time) {
 	if c.bins == nil {
 		return
 	}
-	if c.roll(now); c.sum == [2]float64{} {
+	if c.advance(now); c.sums == [2]float64{} {
 		c.bins = nil
 	}
 }
 
-func (c *counter) request(now Time) { c.add(now, 0) }
-func (c *counter) accept(now Time)  { c.add(now, 1) }
+func (c *rollingCounter) addRequest(now Time) { c.add(now, 0) }
+func (c *rollingCounter) addAccept(now Time)  { c.add(now, 1) }
 
-func (c *counter) totals(now Time) (requests, accepts float64) {
-	c.roll(now)
-	return c.sum[0], c.sum[1]
+func (c *rollingCounter) totals(now Time) (requests, accepts float64) {
+	c.advance(now)
+	return c.sums[0], c.sums[1]
 }
 
-// acceptRate is accepts a second over the span, or since the start while that is shorter.
-func (c *counter) acceptRate(now Time) float64 {
-	c.roll(now)
-	span := min(now-c.started, c.width*c.size)
-	return c.sum[1] * 1e6 / float64(max(span, c.width*2))
+// acceptRate returns the accepts a second over the time window, or since the start while that is shorter.
+func (c *rollingCounter) acceptRate(now Time) float64 {
+	c.advance(now)
+	span := min(now-c.startedAt, c.binWidth*c.binCount)
+	return c.sums[1] * 1e6 / float64(max(span, c.binWidth*2))
 }
 
-// bucket is a token bucket whose rate (a second) and depth the caller gives; it starts full, or empty at a
-// later moment where at is set.
-type bucket struct {
-	at     Time
-	tokens float64
-	used   bool
+// tokenBucket is a token bucket. The caller passes its rate (tokens a second) and its burst size. It starts
+// full; if updatedAt is set beforehand, it starts empty at that time.
+type tokenBucket struct {
+	updatedAt   Time
+	tokens      float64
+	initialized bool
 }
 
-func (b *bucket) level(now Time, rate, depth float64) float64 {
-	if !b.used && b.at == 0 {
-		b.tokens = depth
-	} else if now > b.at {
-		b.tokens += rate * float64(now-b.at) / 1e6
+// refill adds the tokens for the time since the last update and returns the level.
+func (b *tokenBucket) refill(now Time, rate, burst float64) float64 {
+	if !b.initialized && b.updatedAt == 0 {
+		b.tokens = burst
+	} else if now > b.updatedAt {
+		b.tokens += rate * float64(now-b.updatedAt) / 1e6
 	}
-	b.tokens, b.at, b.used = min(b.tokens, depth), max(b.at, now), true
+	b.tokens, b.updatedAt, b.initialized = min(b.tokens, burst), max(b.updatedAt, now), true
 	return b.tokens
 }
 
-func (b *bucket) take(now Time, n, rate, depth float64) bool {
-	if b.level(now, rate, depth) < n {
+// take removes tokens, or returns false if the bucket holds fewer.
+func (b *tokenBucket) take(now Time, tokens, rate, burst float64) bool {
+	if b.refill(now, rate, burst) < tokens {
 		return false
 	}
-	b.tokens -= n
+	b.tokens -= tokens
 	return true
 }
 
-// when is the moment at which the bucket holds n tokens.
-func (b *bucket) when(now Time, n, rate, depth float64) Time {
-	if have := b.level(now, rate, depth); have < n {
-		return b.at + Time(math.Ceil((n-have)/max(rate, 1e-6)*1e6)) + 1
+// availableAt returns when the bucket will hold that many tokens.
+func (b *tokenBucket) availableAt(now Time, tokens, rate, burst float64) Time {
+	if level := b.refill(now, rate, burst); level < tokens {
+		return b.updatedAt + Time(math.Ceil((tokens-level)/max(rate, 1e-6)*1e6)) + 1
 	}
 	return now
 }
 
-// latency is a smoothed mean and deviation.
-type latency struct {
-	mean, dev float64
-	n         int
+// latencyEstimate is a smoothed mean and mean deviation, in microseconds.
+type latencyEstimate struct {
+	mean, deviation float64
+	samples         int
 }
 
-func (l *latency) add(v float64) {
-	l.n++
-	if l.n == 1 {
-		l.mean, l.dev = v, v/2
+func (l *latencyEstimate) add(sample float64) {
+	l.samples++
+	if l.samples == 1 {
+		l.mean, l.deviation = sample, sample/2
 		return
 	}
-	l.dev += (math.Abs(v-l.mean) - l.dev) / 8
-	l.mean += (v - l.mean) / 8
+	l.deviation += (math.Abs(sample-l.mean) - l.deviation) / 8
+	l.mean += (sample - l.mean) / 8
 }
 
-// agenda keeps values for later moments; those of one moment come in the order in which they were added.
-type agenda[T any] struct {
-	items agendaItems[T]
-	count uint64
+// timerQueue holds values that fall due at given times; values due at the same time keep the order in which
+// they were added.
+type timerQueue[T any] struct {
+	items   timerHeap[T]
+	lastSeq uint64
 }
 
-type agendaItem[T any] struct {
-	at  Time
-	seq uint64
-	v   T
+type timerItem[T any] struct {
+	at    Time
+	seq   uint64
+	value T
 }
 
-type agendaItems[T any] []agendaItem[T]
+type timerHeap[T any] []timerItem[T]
 
-func (a agendaItems[T]) Len() int      { return len(a) }
-func (a agendaItems[T]) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a agendaItems[T]) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (h timerHeap[T]) Len() int      { return len(h) }
+func (h timerHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h timerHeap[T]) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (a *agendaItems[T]) Push(x any) { *a = append(*a, x.(agendaItem[T])) }
-func (a *agendaItems[T]) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	(*a)[last] = agendaItem[T]{}
-	*a = (*a)[:last]
+func (h *timerHeap[T]) Push(x any) { *h = append(*h, x.(timerItem[T])) }
+func (h *timerHeap[T]) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	(*h)[last] = timerItem[T]{}
+	*h = (*h)[:last]
 	return x
 }
 
-func (a *agenda[T]) add(at Time, v T) {
-	a.count++
-	heap.Push(&a.items, agendaItem[T]{at, a.count, v})
+func (q *timerQueue[T]) add(at Time, value T) {
+	q.lastSeq++
+	heap.Push(&q.items, timerItem[T]{at, q.lastSeq, value})
 }
 
-// due takes out the earliest value whose moment has come.
-func (a *agenda[T]) due(now Time) (v T, ok bool) {
-	if len(a.items) == 0 || a.items[0].at > now {
-		return v, false
+// popDue removes and returns the earliest value that is due.
+func (q *timerQueue[T]) popDue(now Time) (value T, ok bool) {
+	if len(q.items) == 0 || q.items[0].at > now {
+		return value, false
 	}
-	return heap.Pop(&a.items).(agendaItem[T]).v, true
+	return heap.Pop(&q.items).(timerItem[T]).value, true
 }
 
-// next is the earliest moment; the last one of all where nothing waits.
-func (a *agenda[T]) next() Time {
-	if len(a.items) == 0 {
+// nextAt returns the earliest due time, or math.MaxInt64 if the queue is empty.
+func (q *timerQueue[T]) nextAt() Time {
+	if len(q.items) == 0 {
 		return math.MaxInt64
 	}
-	return a.items[0].at
+	return q.items[0].at
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -14,11 +14,11 @@
 
 // one returns settings for a relay with one safe class and one kind of destination.
 func one() Settings {
-	return Settings{Relays: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 9, Halving: true, OverShareWorth: 0.1,
-		RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
+	return Settings{Relays: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 9, WorthHalves: true, OverShareWorth: 0.1,
+		RatesListed: true, MayProbe: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
 		AnswerSlack: 20000, DrainGrace: second, StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2,
-		FallTime: 3 * second, KeepAlive: 10 * second, ConnectTimeout: second, Kinds: []Kind{{Batch: 1}},
-		Classes: []Class{{Name: "m", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3}}}
+		OverloadTime: 3 * second, KeepAlive: 10 * second, ConnectTimeout: second, Kinds: []DestKind{{MaxBatch: 1}},
+		Classes: []Class{{Name: "m", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3}}}
 }
 
 // rig drives a policy by hand: a steady host that answers as told.
@@ -57,7 +57,7 @@
 
 func (r *rig) message(class, dest int) Event {
 	r.next++
-	return Event{Kind: EvMessage, Message: r.next - 1, Class: class, Dest: dest, Left: r.p.set.Classes[class].Deadline}
+	return Event{Kind: EvMessage, Message: r.next - 1, Class: class, Dest: dest, TimeLeft: r.p.settings.Classes[class].Deadline}
 }
 
 func count(acts []Action, k ActionKind) int {
@@ -74,7 +74,7 @@
 
 func answer(a Action, o Outcome) Event {
 	return Event{Kind: EvOutcome, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
-		Took: second / 10, Settled: o == Delivered}
+		Duration: second / 10, Final: o == Delivered}
 }
 
 func TestDropChance(t *testing.T) {
@@ -86,17 +86,17 @@
 		{1000, 0, 0.9},   // dead: the cap
 		{3, 0, 0},        // hardly asked: that tells nothing
 	} {
-		if got := dropChance(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
+		if got := throttleProbability(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("dropChance(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
 		}
 	}
 }
 
 func TestHistoryExpires(t *testing.T) {
-	c := newCounter(10*second, 20)
+	c := newRollingCounter(10*second, 20)
 	for i := range Time(10) {
-		c.request(i * second)
-		c.accept(i * second)
+		c.addRequest(i * second)
+		c.addAccept(i * second)
 	}
 	for _, x := range []struct {
 		at   Time
@@ -111,14 +111,14 @@
 // TestLocalDropsCount: a draw is a request whether or not it passes.
 func TestLocalDropsCount(t *testing.T) {
 	r := newRig(t, one(), ready(1, 10))
-	l := r.p.eps[1].lane
+	l := r.p.endpoints[1].limiter
 	drops := 0
 	for range 200 {
-		if r.p.dropped(l) {
+		if r.p.throttled(l) {
 			drops++
 		}
 	}
-	if req, _ := l.hist.totals(r.now); req != 200 || drops < 140 || drops > 195 {
+	if req, _ := l.history.totals(r.now); req != 200 || drops < 140 || drops > 195 {
 		t.Fatalf("%v requests counted, %d drops of 200", req, drops)
 	}
 }
@@ -126,7 +126,7 @@
 // TestWindow: it starts at one, grows by one with each success, and halves on a refusal or a time-out.
 func TestWindow(t *testing.T) {
 	r := newRig(t, one(), ready(1, 1000))
-	l := r.p.eps[1].lane
+	l := r.p.endpoints[1].limiter
 	var burst []Event
 	for range 20 {
 		burst = append(burst, r.message(0, 0))
@@ -140,10 +140,10 @@
 	if len(r.sends) != 2 || l.window != 2 {
 		t.Fatalf("%d calls after a success, window %v, want 2 and 2", len(r.sends), l.window)
 	}
-	for _, o := range []Outcome{Full, TimedOut} {
+	for _, o := range []Outcome{Rejected, TimedOut} {
 		l.window = 6
 		r.now += second / 10
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: o})
+		r.p.observe(&call{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*message{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: o})
 		if l.window != 3 {
 			t.Errorf("window after outcome %d: %v, want 3", o, l.window)
 		}
@@ -154,17 +154,17 @@
 func TestSlotsAtOneDestination(t *testing.T) {
 	for _, failing := range []bool{false, true} {
 		r := newRig(t, one(), ready(1, 1000))
-		l := r.p.eps[1].lane
+		l := r.p.endpoints[1].limiter
 		l.window = 100
 		want := 6
 		if failing {
-			r.p.eps[1].score, want = 0.35, 4
+			r.p.endpoints[1].failureScore, want = 0.35, 4
 		}
 		for range 10 {
 			r.step(r.message(0, 0), r.message(0, 0))
 		}
-		if l.dest.flying != want {
-			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.flying, want)
+		if l.dest.inFlight != want {
+			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.inFlight, want)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 				if at := r.now - start; at > second && at < 12*second {
 					f.o = o
 					if o == TimedOut {
-						f.due = a.At
+						f.due = a.TimeoutAt
 					}
 				}
 				flights = append(flights, f)
@@ -218,7 +218,7 @@
 // TestFailBackBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
 // time, from the return on, with the capacity at its slowest ramp.
 func TestFailBackBudget(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, NoConnect, Reset, Full} {
+	for _, o := range []Outcome{Errored, TimedOut, ConnectFailed, Reset, Rejected} {
 		s := one()
 		r := outage(t, s, 20, o)
 		start, back := 1000*second, 1012*second
@@ -234,7 +234,7 @@
 		for from := back; from < back+s.RampTime; from += second / 4 {
 			n := 0
 			for _, at := range r.sentAt {
-				if at >= from && at < from+s.FallTime {
+				if at >= from && at < from+s.OverloadTime {
 					n++
 				}
 			}
@@ -254,44 +254,44 @@
 // TestPartialSuccessKeepsTheBudget: a success amid failures starts no ramp that survives the next failure.
 func TestPartialSuccessKeepsTheBudget(t *testing.T) {
 	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
-	r.p.failed(ep, r.now, false)
-	r.p.failed(ep, r.now, false)
-	if ep.sick {
+	ep := r.p.endpoints[1]
+	r.p.recordFailure(ep, r.now, false)
+	r.p.recordFailure(ep, r.now, false)
+	if ep.ejected {
 		t.Fatal("two failures in a row are an outage")
 	}
-	r.p.failed(ep, r.now, false)
-	if !ep.sick {
+	r.p.recordFailure(ep, r.now, false)
+	if !ep.ejected {
 		t.Fatal("three failures in a row are no outage")
 	}
 	r.now += second
 	r.p.now = r.now
-	r.p.healthy(ep, r.now)
+	r.p.recordSuccess(ep, r.now)
 	r.p.now += 5 * second
-	if r.p.ramped(ep) < 0.5 {
-		t.Fatalf("half a ramp gives %v", r.p.ramped(ep))
+	if r.p.rampShare(ep) < 0.5 {
+		t.Fatalf("half a ramp gives %v", r.p.rampShare(ep))
 	}
-	r.p.failed(ep, r.p.now, false)
-	r.p.failed(ep, r.p.now, false)
-	if got := r.p.ramped(ep); got != 0.2 || !ep.sick {
-		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.sick)
+	r.p.recordFailure(ep, r.p.now, false)
+	r.p.recordFailure(ep, r.p.now, false)
+	if got := r.p.rampShare(ep); got != 0.2 || !ep.ejected {
+		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.ejected)
 	}
 }
 
 // TestOldCallsTellNothingOfTheReturn: what left before the outage was over does not restart it.
 func TestOldCallsTellNothingOfTheReturn(t *testing.T) {
 	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+	ep := r.p.endpoints[1]
 	early := r.now
 	for range 3 {
-		r.p.failed(ep, r.now, true)
+		r.p.recordFailure(ep, r.now, true)
 	}
 	r.p.now += 3 * second
-	r.p.healthy(ep, r.p.now-second/10)
-	good := ep.goodAt
-	r.p.failed(ep, early, true)
-	if good == 0 || ep.goodAt != good {
-		t.Fatalf("ramp began at %d and now says %d", good, ep.goodAt)
+	r.p.recordSuccess(ep, r.p.now-second/10)
+	good := ep.recoveredAt
+	r.p.recordFailure(ep, early, true)
+	if good == 0 || ep.recoveredAt != good {
+		t.Fatalf("ramp began at %d and now says %d", good, ep.recoveredAt)
 	}
 }
 
@@ -300,11 +300,11 @@
 	r := newRig(t, one(), ready(1, 1000))
 	r.step(r.message(0, 0))
 	e := answer(r.sends[0], Delivered)
-	e.Took = 1000
+	e.Duration = 1000
 	r.now += 1000
 	r.step(e)
 	r.step(r.message(0, 0))
-	if len(r.sends) != 1 || r.sends[0].At-r.now < 2*second {
+	if len(r.sends) != 1 || r.sends[0].TimeoutAt-r.now < 2*second {
 		t.Fatalf("sends %+v at %d: time-out under the aim", r.sends, r.now)
 	}
 }
@@ -314,7 +314,7 @@
 	s := one()
 	s.Relays = 12
 	r := newRig(t, s, ready(1, 9))
-	r.p.eps[1].lane.window = 5
+	r.p.endpoints[1].limiter.window = 5
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 	if len(r.sends) != 3 {
 		t.Fatalf("%d of 3 calls passed at once", len(r.sends))
@@ -326,11 +326,11 @@
 	for _, unsafe := range []bool{false, true} {
 		s := one()
 		if unsafe {
-			s.Classes[0].Repeat = Unsafe
+			s.Classes[0].Idempotency = NonIdempotent
 		}
 		r := newRig(t, s, ready(1, 10))
 		for range 3 {
-			r.p.failed(r.p.eps[1], r.now, true)
+			r.p.recordFailure(r.p.endpoints[1], r.now, true)
 		}
 		start := r.now
 		r.step(r.message(0, 0))
@@ -338,7 +338,7 @@
 			r.now += second / 20
 			r.step()
 		}
-		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].Aim {
+		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].TargetTime {
 			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
 		}
 	}
@@ -348,9 +348,9 @@
 // there do not wait with it. Its slot stays taken, and the silence halves the window once.
 func TestSilentCallLeavesTheWindow(t *testing.T) {
 	s := one()
-	s.Classes = append(s.Classes, Class{Name: "u", Aim: 2 * second, Deadline: 20 * second, Worth: 2, Repeat: Unsafe})
+	s.Classes = append(s.Classes, Class{Name: "u", TargetTime: 2 * second, Deadline: 20 * second, Worth: 2, Idempotency: NonIdempotent})
 	r := newRig(t, s, ready(1, 1000))
-	l := r.p.eps[1].lane
+	l := r.p.endpoints[1].limiter
 	r.step(r.message(1, 0))
 	silent := r.sends[0]
 	r.now += second / 10
@@ -360,18 +360,18 @@
 	}
 	for end := r.now + 4*second; len(r.sends) == 0; r.step(Event{Kind: EvTimer}) {
 		if r.now += 5000; r.now > end {
-			t.Fatalf("nothing sent beside a silent call: window %v, out %d", l.window, l.flying)
+			t.Fatalf("nothing sent beside a silent call: window %v, out %d", l.window, l.inFlight)
 		}
 	}
-	if r.p.calls != 2 || l.dest.flying != 2 || count(r.acts, ActCancel) != 0 {
-		t.Errorf("%d slots, %d out there, %d called off", r.p.calls, l.dest.flying, count(r.acts, ActCancel))
+	if r.p.callsInFlight != 2 || l.dest.inFlight != 2 || count(r.acts, ActCancel) != 0 {
+		t.Errorf("%d slots, %d out there, %d called off", r.p.callsInFlight, l.dest.inFlight, count(r.acts, ActCancel))
 	}
 	l.window = 8
 	r.now += second / 10
 	late := answer(silent, TimedOut)
 	r.step(late)
-	if l.window != 8 || l.flying != 1 {
-		t.Errorf("counted again when it ended: window %v, out %d", l.window, l.flying)
+	if l.window != 8 || l.inFlight != 1 {
+		t.Errorf("counted again when it ended: window %v, out %d", l.window, l.inFlight)
 	}
 }
 
@@ -386,28 +386,28 @@
 		sick          bool
 	}{{"lost alone", true, false, 8, false}, {"nothing since", false, false, 8, true}, {"most", true, true, 8, true}} {
 		r := newRig(t, one(), ready(1, 1000))
-		ep := r.p.eps[1]
-		l := ep.lane
+		ep := r.p.endpoints[1]
+		l := ep.limiter
 		l.window = 16
 		sent := r.now
 		if c.okAfter {
-			ep.okAt = sent + second
+			ep.lastSuccessAt = sent + second
 		} else {
-			ep.okAt = sent - second
+			ep.lastSuccessAt = sent - second
 		}
 		r.now += 2 * second
 		for range 40 {
-			l.hist.request(r.now)
+			l.history.addRequest(r.now)
 			if !c.most {
-				l.hist.accept(r.now)
+				l.history.addAccept(r.now)
 			}
 		}
 		r.p.now = r.now
 		for range 4 {
-			r.p.observe(&call{ep: ep, sent: sent, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: TimedOut})
+			r.p.observe(&call{endpoint: ep, sentAt: sent, messages: []*message{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: TimedOut})
 		}
-		if l.window != c.window || ep.sick != c.sick {
-			t.Errorf("%s: window %v, sick %v, want %v and %v", c.name, l.window, ep.sick, c.window, c.sick)
+		if l.window != c.window || ep.ejected != c.sick {
+			t.Errorf("%s: window %v, sick %v, want %v and %v", c.name, l.window, ep.ejected, c.window, c.sick)
 		}
 	}
 }
@@ -417,14 +417,14 @@
 func TestLowLimitIsNotShut(t *testing.T) {
 	for limit, sick := range map[float64]bool{0.5: false, 20: true} {
 		r := newRig(t, one(), ready(1, limit))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		for range 2 {
-			r.p.observe(&call{ep: ep, sent: r.p.now, msgs: []*message{{class: &r.p.set.Classes[0]}}},
-				&Event{Kind: EvOutcome, Outcome: Full, Load: Load{Limit: limit}})
+			r.p.observe(&call{endpoint: ep, sentAt: r.p.now, messages: []*message{{class: &r.p.settings.Classes[0]}}},
+				&Event{Kind: EvOutcome, Outcome: Rejected, Load: Load{Limit: limit}})
 			r.p.now += 2 * second
 		}
-		if ep.sick != sick {
-			t.Errorf("limit %v: held to be shut: %v", limit, ep.sick)
+		if ep.ejected != sick {
+			t.Errorf("limit %v: held to be shut: %v", limit, ep.ejected)
 		}
 	}
 }
@@ -440,8 +440,8 @@
 	for r.now < start+second/2 {
 		var failed []Event
 		for _, a := range r.sends {
-			e := answer(a, NoConnect)
-			e.Attempt, e.Took = sent, 0
+			e := answer(a, ConnectFailed)
+			e.Attempt, e.Duration = sent, 0
 			failed = append(failed, e)
 			sent++
 		}
@@ -456,15 +456,15 @@
 // TestBatchOfOneTurn: what waits for one endpoint shares a call and a slot, and the call counts once.
 func TestBatchOfOneTurn(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 3
+	s.Kinds[0].MaxBatch = 3
 	r := newRig(t, s, ready(1, 10))
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
-	if len(r.sends) != 3 || r.p.calls != 1 {
-		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.calls)
+	if len(r.sends) != 3 || r.p.callsInFlight != 1 {
+		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.callsInFlight)
 	}
 	r.now += second / 5
 	r.step(answer(r.sends[0], Delivered))
-	if r.p.calls != 1 {
+	if r.p.callsInFlight != 1 {
 		t.Fatal("the slot was freed before the call's last outcome")
 	}
 }
@@ -474,30 +474,30 @@
 func TestNoCopiesByACallInPart(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		s := one()
-		s.Copies = copies
-		s.Kinds[0].Batch = 4
+		s.ParallelAttempts = copies
+		s.Kinds[0].MaxBatch = 4
 		s.Classes = []Class{s.Classes[0], s.Classes[0], s.Classes[0]}
-		s.Classes[1].Repeat = Unsafe
-		s.Classes[2].Aim *= 2
+		s.Classes[1].Idempotency = NonIdempotent
+		s.Classes[2].TargetTime *= 2
 		r := newRig(t, s, ready(1, 1000))
 		r.step(r.message(0, 0), r.message(1, 0), r.message(2, 0), r.message(0, 0), r.message(1, 0))
 		cuts := map[Time]int{}
 		for _, a := range r.sends {
-			cuts[a.At]++
+			cuts[a.TimeoutAt]++
 		}
 		if mixed := len(cuts) > 1; mixed != copies || len(r.sends) < 2 {
 			t.Errorf("copies allowed: %v; one call with %d messages is given up at %d moments", copies, len(r.sends), len(cuts))
 		}
 		// With room for several calls in one step: a host puts what goes to one endpoint together.
-		r.p.eps[1].lane.window = 8
-		for len(r.p.live) > r.p.aloft {
+		r.p.endpoints[1].limiter.window = 8
+		for len(r.p.unfinished) > r.p.messagesInFlight {
 			if r.now += 5000; r.now > 1010*second {
 				t.Fatal("the rest is never sent")
 			}
 			r.step(Event{Kind: EvTimer})
 			cuts = map[Time]int{}
 			for _, a := range r.sends {
-				cuts[a.At]++
+				cuts[a.TimeoutAt]++
 			}
 			if len(cuts) > 1 && !copies {
 				t.Error("two calls of one step are given up at different moments")
@@ -509,13 +509,13 @@
 // TestWaitOfATakenBatch: an answer that took the messages may tell to wait, and binds as a refusal's does.
 func TestWaitOfATakenBatch(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 2
+	s.Kinds[0].MaxBatch = 2
 	r := newRig(t, s, ready(1, 1000))
 	r.step(r.message(0, 0), r.message(0, 0))
 	var taken []Event
 	for _, a := range r.sends {
 		e := answer(a, Delivered)
-		e.Wait = second
+		e.RetryAfter = second
 		taken = append(taken, e)
 	}
 	r.now += second / 10
@@ -536,14 +536,14 @@
 // the others does.
 func TestBatchCountsOnce(t *testing.T) {
 	s := one()
-	s.Kinds[0].Batch = 3
+	s.Kinds[0].MaxBatch = 3
 	r := newRig(t, s, ready(1, 1000))
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 	r.now += second / 10
 	over := answer(r.sends[0], NotSent)
-	over.Settled = true
+	over.Final = true
 	r.step(over, answer(r.sends[1], Delivered), answer(r.sends[2], Delivered))
-	if req, acc := r.p.eps[1].lane.hist.totals(r.now); req != 1 || acc != 1 {
+	if req, acc := r.p.endpoints[1].limiter.history.totals(r.now); req != 1 || acc != 1 {
 		t.Errorf("%v requests, %v accepts, want 1 and 1", req, acc)
 	}
 }
@@ -551,7 +551,7 @@
 // TestWorthOrder: what loses most by waiting goes first; what is over its tenant's share goes last.
 func TestWorthOrder(t *testing.T) {
 	s := one()
-	s.Classes = append(s.Classes, Class{Name: "dear", Aim: 2 * second, Deadline: 20 * second, Worth: 3, LateWorth: 0.3})
+	s.Classes = append(s.Classes, Class{Name: "dear", TargetTime: 2 * second, Deadline: 20 * second, Worth: 3, LateWorth: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	r := newRig(t, s, ready(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
@@ -565,8 +565,8 @@
 		events = append(events, e)
 	}
 	r.step(events...)
-	r.p.order(r.p.dests[0])
-	q := r.p.dests[0].queue
+	r.p.sortQueue(r.p.destinations[0])
+	q := r.p.destinations[0].queue
 	if len(q) != 6 || q[0].class.Name != "dear" || q[5].worth > 0.5 && q[4].worth > 0.5 {
 		t.Fatalf("queue of %d, first %s, last worth %v", len(q), q[0].class.Name, q[5].worth)
 	}
@@ -602,13 +602,13 @@
 	}{
 		{"Slots", func(s *Settings) { s.Slots = 0 }},
 		{"Relays", func(s *Settings) { s.Relays = 0 }},
-		{"FallTime", func(s *Settings) { s.FallTime = -1 }},
-		{"Classes[0].Repeat", func(s *Settings) { s.Classes[0].Repeat = 9 }},
+		{"OverloadTime", func(s *Settings) { s.OverloadTime = -1 }},
+		{"Classes[0].Idempotency", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = 0 }},
 		{"Classes[0].DedupWindow", func(s *Settings) { s.Classes[0].DedupWindow = -5 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"StartCapacity", func(s *Settings) { s.StartCapacity = math.NaN() }},
-		{"Kinds[0].Batch", func(s *Settings) { s.Kinds[0].Batch = -1 }},
+		{"Kinds[0].MaxBatch", func(s *Settings) { s.Kinds[0].MaxBatch = -1 }},
 	} {
 		s := one()
 		c.change(&s)
@@ -705,8 +705,8 @@
 	}
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 1), r.message(0, 1))
-	if r.p.calls != 2 {
-		t.Fatalf("%d calls out, want both slots taken", r.p.calls)
+	if r.p.callsInFlight != 2 {
+		t.Fatalf("%d calls out, want both slots taken", r.p.callsInFlight)
 	}
 	cancels := 0
 	for range 400 {
@@ -720,11 +720,11 @@
 	if cancels == 0 {
 		t.Fatal("no overdue call was called off")
 	}
-	ep := r.p.eps[1]
-	ep.okAt = r.now
-	before := ep.score
-	r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EvOutcome, Outcome: Cancelled})
-	if ep.score != before {
+	ep := r.p.endpoints[1]
+	ep.lastSuccessAt = r.now
+	before := ep.failureScore
+	r.p.observe(&call{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EvOutcome, Outcome: Cancelled})
+	if ep.failureScore != before {
 		t.Error("a call called off counted against an endpoint that has answered since")
 	}
 }
@@ -732,27 +732,27 @@
 // TestFewerThanHalfFailing: where most calls pass, failures neither make an outage nor undo a ramp.
 func TestFewerThanHalfFailing(t *testing.T) {
 	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+	ep := r.p.endpoints[1]
 	for i := range 300 { // two of five fail
 		r.p.now += second / 10
 		if i%5 == 1 || i%5 == 3 {
-			r.p.failed(ep, r.p.now, false)
+			r.p.recordFailure(ep, r.p.now, false)
 		} else {
-			r.p.healthy(ep, r.p.now)
+			r.p.recordSuccess(ep, r.p.now)
 		}
-		if ep.sick {
+		if ep.ejected {
 			t.Fatalf("out after %d calls of which two in five failed", i)
 		}
 	}
 	for range 3 {
-		r.p.failed(ep, r.p.now, false)
+		r.p.recordFailure(ep, r.p.now, false)
 	}
 	for range 6 {
-		r.p.healthy(ep, r.p.now)
+		r.p.recordSuccess(ep, r.p.now)
 	}
-	good := ep.goodAt
-	r.p.failed(ep, r.p.now, false)
-	if good == 0 || ep.goodAt != good {
+	good := ep.recoveredAt
+	r.p.recordFailure(ep, r.p.now, false)
+	if good == 0 || ep.recoveredAt != good {
 		t.Fatal("one failure among passes undid the ramp")
 	}
 }
@@ -764,10 +764,10 @@
 		s := one()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 4))
-		l := r.p.eps[1].lane
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Full})
+		l := r.p.endpoints[1].limiter
+		r.p.observe(&call{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*message{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Rejected})
 		turn := min(Time(n)*second/4, 10*second)
-		if rest := l.pauseUntil - r.now; rest < turn/2 || rest > turn*3/2 {
+		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
 			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
 		}
 	}
@@ -778,8 +778,8 @@
 	s := one()
 	s.MaxHeld = 16
 	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
-	r.p.eps[1].lane.pauseUntil = r.now + 15*second
-	r.p.eps[2].lane.pauseUntil = r.now + second
+	r.p.endpoints[1].limiter.backoffUntil = r.now + 15*second
+	r.p.endpoints[2].limiter.backoffUntil = r.now + second
 	var events []Event
 	dest := map[uint32]int{}
 	for i := range 16 {
@@ -817,37 +817,37 @@
 	}
 	r := newRig(t, s, list...)
 	for i := range 1000 {
-		before := r.p.looks
+		before := r.p.nextDispatchScans
 		r.step(r.message(0, i%dests))
-		if n := r.p.looks - before; n > 3*dests {
+		if n := r.p.nextDispatchScans - before; n > 3*dests {
 			t.Fatalf("message %d: %d destinations looked at, %d there are", i, n, dests)
 		}
 	}
-	if len(r.p.live) < 300 {
-		t.Fatalf("%d held: no crowd", len(r.p.live))
+	if len(r.p.unfinished) < 300 {
+		t.Fatalf("%d held: no crowd", len(r.p.unfinished))
 	}
 }
 
 // TestGrowth: ids, messages and waits of what has gone leave nothing behind.
 func TestGrowth(t *testing.T) {
 	s := one()
-	s.Kinds = []Kind{{Apart: true, Batch: 1}}
+	s.Kinds = []DestKind{{SeparateLimits: true, MaxBatch: 1}}
 	r := newRig(t, s, ready(1, 5))
 	kept := func() int {
-		return len(r.p.eps) + len(r.p.msgs) + len(r.p.live) + len(r.p.later.items) + len(r.p.dests[0].lanes)
+		return len(r.p.endpoints) + len(r.p.messages) + len(r.p.unfinished) + len(r.p.timers.items) + len(r.p.destinations[0].limiters)
 	}
 	after := 0
 	for i := range 3000 {
 		acts := r.step(r.message(0, 0))
 		for _, a := range acts {
 			if a.Kind == ActSend {
-				e := answer(a, Full)
-				e.Wait = second
+				e := answer(a, Rejected)
+				e.RetryAfter = second
 				r.step(e, Event{Kind: EvWithdraw, Message: a.Message})
 			}
 		}
 		x := ready(Endpoint(i+2), 5)
-		r.step(Event{Kind: EvList, Entries: []Entry{{Endpoint: Endpoint(i + 1), State: Gone}, x}})
+		r.step(Event{Kind: EvList, Entries: []Entry{{Endpoint: Endpoint(i + 1), State: Removed}, x}})
 		r.now += second
 		r.step()
 		if i == 300 {
@@ -876,7 +876,7 @@
 			now := 1000*second + Time(k)*1000
 			events := []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, rate)}}}
 			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
-				events = append(events, Event{Kind: EvMessage, Message: uint32(i + 1), Left: 30 * second})
+				events = append(events, Event{Kind: EvMessage, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
 			tries := map[uint32]int{}
 			for now < back+10*second {
@@ -887,7 +887,7 @@
 						if at := (now - back) * 2 / second; now >= back {
 							calls[at]++
 						}
-						e := answer(a, NoConnect)
+						e := answer(a, ConnectFailed)
 						e.Attempt = tries[a.Message]
 						tries[a.Message]++
 						events = append(events, e)
@@ -914,14 +914,14 @@
 		s := one()
 		s.Relays = 50
 		r := newRig(t, s, ready(1, 1000))
-		r.p.tight[0] = tight
+		r.p.noConnectionShare[0] = tight
 		r.step(r.message(0, 0))
 		r.now += second / 10
 		closes := 0
 		r.step(answer(r.sends[0], Delivered))
 		for range 40 { // two seconds, of ten that connections live
 			r.now += second / 20
-			closes += count(r.step(), ActClose)
+			closes += count(r.step(), ActCloseIdle)
 		}
 		if closes != int(tight) {
 			t.Errorf("share without connection %v: %d times given back", tight, closes)
@@ -932,11 +932,11 @@
 // TestGoneAndMoved: what left or moved is not sent to, and is really let go.
 func TestGoneAndMoved(t *testing.T) {
 	r := newRig(t, one(), ready(1, 10), ready(2, 10))
-	r.p.failed(r.p.eps[1], r.now, true)
-	r.p.eps[1].sick = true
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: 1, State: Gone}, {Endpoint: 2, State: Ready, Dest: 5}}})
-	if len(r.p.eps) != 1 || len(r.p.dest(0).lanes[0].eps) != 0 {
-		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.eps), len(r.p.dest(0).lanes[0].eps))
+	r.p.recordFailure(r.p.endpoints[1], r.now, true)
+	r.p.endpoints[1].ejected = true
+	r.step(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Endpoint: 1, State: Removed}, {Endpoint: 2, State: Ready, Dest: 5}}})
+	if len(r.p.endpoints) != 1 || len(r.p.destination(0).limiters[0].endpoints) != 0 {
+		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.endpoints), len(r.p.destination(0).limiters[0].endpoints))
 	}
 	if r.step(r.message(0, 0)); len(r.sends) != 0 {
 		t.Fatal("sent to an endpoint of another destination")
@@ -961,8 +961,8 @@
 			for i := range b.N {
 				now += 5000
 				id := uint32(i + 1)
-				acts = p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: i % n, Left: 20 * second}}, acts[:0])
-				acts = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Settled: true, Took: 1000}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Final: true, Duration: 1000}}, acts[:0])
 			}
 		})
 	}
@@ -975,14 +975,14 @@
 		s := one()
 		s.Relays = n
 		r := newRig(t, s, ready(1, 10))
-		ep := r.p.eps[1]
-		r.p.failed(ep, r.now, false)
-		if ep.restUntil > r.now {
+		ep := r.p.endpoints[1]
+		r.p.recordFailure(ep, r.now, false)
+		if ep.backoffUntil > r.now {
 			t.Fatalf("%d relays: a rest after the first failure", n)
 		}
 		r.p.now += second / 2
-		r.p.failed(ep, r.p.now, false)
-		if rest := ep.restUntil - r.p.now; n == 400 && rest < second || n == 2 && rest > second/4 {
+		r.p.recordFailure(ep, r.p.now, false)
+		if rest := ep.backoffUntil - r.p.now; n == 400 && rest < second || n == 2 && rest > second/4 {
 			t.Errorf("%d relays: a rest of %d ms half a second after the first failure", n, rest/1000)
 		}
 	}
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -5,260 +5,273 @@
 	"slices"
 )
 
-// Dispatch: which message is sent next, to which endpoint, and what shares its call.
+// Dispatch: which message is sent next, to which endpoint, and which messages share its call.
 
-// dispatch sends what loses most by waiting, over the destinations that an event or the time has touched and
-// those that wait for nothing but a slot.
+// dispatch sends the messages that lose most by waiting. It considers the pending destinations, which an
+// event or a timer has affected, and the dispatchable ones, which wait only for a slot.
 func (p *Policy) dispatch() {
-	if p.calls < p.set.Slots { // what waited for a slot is chosen anew
-		for _, d := range p.ready {
-			d.ready = false
-			p.touch(d)
+	if p.callsInFlight < p.settings.Slots { // pick again for destinations that waited for a slot
+		for _, d := range p.dispatchable {
+			d.dispatchable = false
+			p.markPending(d)
 		}
-		p.ready = p.ready[:0]
+		p.dispatchable = p.dispatchable[:0]
 	}
-	for _, d := range p.touched {
-		d.touched = false
-		p.best(d)
-		if d.pick != nil && !d.ready {
-			d.ready = true
-			p.ready = append(p.ready, d)
+	for _, d := range p.pending {
+		d.pending = false
+		p.pickMessage(d)
+		if d.picked != nil && !d.dispatchable {
+			d.dispatchable = true
+			p.dispatchable = append(p.dispatchable, d)
 		}
 	}
-	p.touched = p.touched[:0]
-	for p.calls < p.set.Slots && len(p.ready) > 0 {
-		at := 0
-		for i, d := range p.ready {
-			if d.pickVal > p.ready[at].pickVal {
-				at = i
+	p.pending = p.pending[:0]
+	for p.callsInFlight < p.settings.Slots && len(p.dispatchable) > 0 {
+		highest := 0
+		for i, d := range p.dispatchable {
+			if d.pickedPriority > p.dispatchable[highest].pickedPriority {
+				highest = i
 			}
 		}
-		d := p.ready[at]
-		p.call(d)
-		if p.best(d); d.pick == nil {
-			d.ready = false
-			p.ready = slices.Delete(p.ready, at, at+1)
+		d := p.dispatchable[highest]
+		p.makeCall(d)
+		if p.pickMessage(d); d.picked == nil {
+			d.dispatchable = false
+			p.dispatchable = slices.Delete(p.dispatchable, highest, highest+1)
 		}
 	}
-	if p.calls < p.set.Slots || len(p.live) <= p.aloft {
-		p.pressed = 0
-	} else if p.pressed == 0 {
-		p.pressed = p.now
+	if p.callsInFlight < p.settings.Slots || len(p.unfinished) <= p.messagesInFlight {
+		p.slotsExhaustedSince = 0
+	} else if p.slotsExhaustedSince == 0 {
+		p.slotsExhaustedSince = p.now
 	}
 }
 
-// touch has a destination looked at in this turn.
-func (p *Policy) touch(d *dest) {
-	if !d.touched {
-		d.touched = true
-		p.touched = append(p.touched, d)
+// markPending schedules a destination for evaluation in this step.
+func (p *Policy) markPending(d *destination) {
+	if !d.pending {
+		d.pending = true
+		p.pending = append(p.pending, d)
 	}
 }
 
-// best finds the message of a destination that loses most if it waits as long as the queue takes; among
-// those that lose nothing, the one nearest to its aim.
-func (p *Policy) best(d *dest) {
-	d.pick = nil
+// pickMessage picks the message of a destination that loses most if it waits until the queue is drained;
+// among those that lose nothing, the one nearest to its target time. If there is none, it sets a timer for
+// the next moment at which one may be sent.
+func (p *Policy) pickMessage(d *destination) {
+	d.picked = nil
 	if len(d.queue) == 0 {
 		return
 	}
-	if p.open(d) {
-		p.order(d)
+	if p.canDispatch(d) {
+		p.sortQueue(d)
 		for _, m := range d.queue {
-			if ep := p.choose(m); ep != nil {
-				d.pick, d.pickAt = m, ep
-				d.pickVal = (m.loss + m.worth/1000) / float64(p.usual(d)+1)
+			if ep := p.chooseEndpoint(m); ep != nil {
+				d.picked, d.pickedEndpoint = m, ep
+				d.pickedPriority = (m.waitLoss + m.worth/1000) / float64(p.usualLatency(d)+1)
 				return
 			}
 		}
 	}
-	if at := p.opens(d); at < math.MaxInt64 && (d.wakeAt <= p.now || at < d.wakeAt) {
-		d.wakeAt = max(at, p.now+p.set.Tick)
-		d.wakes = max(d.wakes, d.wakeAt)
-		p.later.add(d.wakeAt, func() { p.touch(d) })
+	if wakeAt := p.nextDispatchAt(d); wakeAt < math.MaxInt64 &&
+		(d.nextWakeAt <= p.now || wakeAt < d.nextWakeAt) {
+		d.nextWakeAt = max(wakeAt, p.now+p.settings.Tick)
+		d.lastWakeAt = max(d.lastWakeAt, d.nextWakeAt)
+		p.timers.add(d.nextWakeAt, func() { p.markPending(d) })
 	}
 }
 
-// open: some lane of a destination lets a call go, whatever its endpoints say. Where none does, the order of
-// what waits is of no use yet.
-func (p *Policy) open(d *dest) bool {
-	open := false
-	for _, l := range d.lanes { // each is asked: a lane notes that its pace kept something waiting
-		if p.room(l) && p.paced(l) {
-			open = true
+// canDispatch reports whether some limiter of a destination allows a call, without regard to its endpoints.
+// If none does, sorting the queue would be wasted.
+func (p *Policy) canDispatch(d *destination) bool {
+	can := false
+	for _, l := range d.limiters { // no early exit: hasToken marks limiters whose rate delays a call
+		if p.hasConcurrency(l) && p.hasToken(l) {
+			can = true
 		}
 	}
-	return open
+	return can
 }
 
-// opens is the next moment at which time alone may let something go to a destination.
-func (p *Policy) opens(d *dest) Time {
-	p.looks++
+// nextDispatchAt returns the next moment at which the passing of time alone may allow a call to a
+// destination.
+func (p *Policy) nextDispatchAt(d *destination) Time {
+	p.nextDispatchScans++
 	next := Time(math.MaxInt64)
-	for _, l := range d.lanes {
-		t := max(l.pauseUntil, l.waitUntil, l.tokens.when(p.now, 1, p.pace(l), p.depth(l)))
-		for _, ep := range l.eps {
-			at := max(t, ep.restUntil)
-			if ep.sick {
-				r, depth := p.budgetRate(ep)
-				at = max(at, ep.budget.when(p.now, ep.need, r, max(depth, ep.need)))
+	for _, l := range d.limiters {
+		limiterOpensAt := max(l.backoffUntil, l.retryAfterUntil,
+			l.bucket.availableAt(p.now, 1, p.sendRate(l), p.burst(l)))
+		for _, ep := range l.endpoints {
+			opensAt := max(limiterOpensAt, ep.backoffUntil)
+			if ep.ejected {
+				rate, burst := p.budgetRate(ep)
+				opensAt = max(opensAt,
+					ep.budget.availableAt(p.now, ep.nextCallCost, rate, max(burst, ep.nextCallCost)))
 			}
-			if at > p.now {
-				next = min(next, at)
+			if opensAt > p.now {
+				next = min(next, opensAt)
 			}
 		}
 	}
 	for _, m := range d.queue {
-		if l := p.lines[m.key]; l != nil && m.class.InOrder && l.rest > p.now {
-			next = min(next, l.rest)
+		if l := p.orderedKeys[m.key]; l != nil && m.class.InOrder && l.pausedUntil > p.now {
+			next = min(next, l.pausedUntil)
 		}
-		if m.class.Repeat == Unsafe && m.aimAt >= p.now { // may then try what is out
-			next = min(next, m.aimAt+1)
+		// From its target time on a non-idempotent message may use an ejected endpoint.
+		if m.class.Idempotency == NonIdempotent && m.targetAt >= p.now {
+			next = min(next, m.targetAt+1)
 		}
 	}
 	return next
 }
 
-// choose picks the endpoint for a message: sound before cold before out, then the soonest answer. Where a
-// relay sees too little of the routes to tell which one is busy, it draws one by their rates: what all relays
-// prefer for its distance or its speed would get more than it takes, while the others have room. Harm: a call
-// may go to the slower one, on a new connection.
-func (p *Policy) choose(m *message) *endpoint {
+// chooseEndpoint chooses the endpoint for a message: healthy before recovering before ejected, then the one
+// with the shortest expected latency. A relay that sees too few calls to tell which route is busy draws one
+// in proportion to the rates: otherwise all relays would prefer the same near or fast route and overload it
+// while others have capacity left. The cost is that a call may use a slower route, on a new connection.
+func (p *Policy) chooseEndpoint(m *message) *endpoint {
 	var best *endpoint
-	low := math.Inf(1)
-	for _, l := range m.dest.lanes {
-		if !p.room(l) || !p.paced(l) {
+	lowestCost := math.Inf(1)
+	for _, l := range m.dest.limiters {
+		if !p.hasConcurrency(l) || !p.hasToken(l) {
 			continue
 		}
-		lot := 0.0
-		if len(m.dest.lanes) > 1 && p.sparse(l) {
-			lot = p.rng.ExpFloat64() / p.capacity(l)
+		draw := 0.0
+		if len(m.dest.limiters) > 1 && p.sparse(l) {
+			draw = p.rng.ExpFloat64() / p.capacity(l)
 		}
-		for _, ep := range l.eps {
+		for _, ep := range l.endpoints {
 			if !p.maySend(m, ep) {
 				continue
 			}
-			lat := ep.lat.mean
-			if ep.lat.n == 0 {
-				lat = float64(p.usual(m.dest))
+			latency := ep.latency.mean
+			if ep.latency.samples == 0 {
+				latency = float64(p.usualLatency(m.dest))
 			}
-			cost := lat * float64(1+ep.flying)
-			if ep.flying >= ep.conns*p.set.Streams { // a connection must be opened
-				cost += lat
+			cost := latency * float64(1+ep.inFlight)
+			if ep.inFlight >= ep.connections*p.settings.StreamsPerConn { // a connection must be opened
+				cost += latency
 			}
-			if ep.zone != p.set.Zone {
+			if ep.zone != p.settings.Zone {
 				cost *= 1.5
 			}
-			if lot > 0 { // seconds: of one call there, drawn
-				cost = lot * float64(second)
+			if draw > 0 { // random, in seconds of one call at the limiter's capacity
+				cost = draw * float64(second)
 			}
-			if m.failedAt == ep { // another may do better, whatever the cause
-				cost += float64(m.class.Aim)
+			if m.failedEndpoint == ep { // another endpoint may succeed, whatever the cause
+				cost += float64(m.class.TargetTime)
 			}
-			if ep.sick {
+			if ep.ejected {
 				cost += float64(m.class.Deadline)
-				if ep.goodAt == 0 {
+				if ep.recoveredAt == 0 {
 					cost *= 2
 				}
 			}
-			if cost < low {
-				best, low = ep, cost
+			if cost < lowestCost {
+				best, lowestCost = ep, cost
 			}
 		}
 	}
 	return best
 }
 
-// maySend: every guard on a message and an endpoint together.
+// maySend reports whether a message may be sent to an endpoint now. It holds every guard on the pair.
 func (p *Policy) maySend(m *message, ep *endpoint) bool {
-	if m.over || m.call != nil || p.spent(m) || p.now >= m.deadline-2*p.margin() || !p.mayCall(ep) {
+	if m.ended || m.call != nil || p.attemptsExhausted(m) ||
+		p.now >= m.deadline-2*p.deadlineMargin() || !p.mayCallEndpoint(ep) {
 		return false
 	}
-	if p.unrecorded && p.needsRecord(m) {
+	if p.cannotRecord && p.needsRecord(m) {
 		return false
 	}
-	l := p.lines[m.key]
-	if m.class.InOrder && m.key != 0 && (l == nil || l.turns[0] != m || m.tries == 0 && l.rest > p.now) {
+	key := p.orderedKeys[m.key]
+	if m.class.InOrder && m.key != 0 &&
+		(key == nil || key.queue[0] != m || m.attempts == 0 && key.pausedUntil > p.now) {
 		return false
 	}
-	if m.doubtAt > 0 && m.class.Repeat == Keyed && m.class.ZoneOnly && ep.zone != m.doubtIn {
+	if m.mayHaveRunAt > 0 && m.class.Idempotency == Deduplicated &&
+		m.class.DedupByZone && ep.zone != m.mayHaveRunZone {
 		return false
 	}
-	if c := ep.last; c != nil && c.sent == p.now && !p.mayShare(m, c.msgs[0], ep) {
-		return false // what one step sends there travels in one call; the next step is soon
+	if c := ep.lastCall; c != nil && c.sentAt == p.now && !p.mayShareCall(m, c.messages[0], ep) {
+		return false // one step makes one call to an endpoint; the next step follows soon
 	}
-	// An unsafe message has one try that may run: not where calls fail, but for one that is late already.
-	return m.class.Repeat != Unsafe || !ep.sick || ep.goodAt > 0 || p.now > m.aimAt
+	// A non-idempotent message has only one attempt that may run: it avoids ejected endpoints until its
+	// target time has passed.
+	return m.class.Idempotency != NonIdempotent || !ep.ejected || ep.recoveredAt > 0 || p.now > m.targetAt
 }
 
-// call makes one call with the picked message and what may share it.
-func (p *Policy) call(d *dest) {
-	ep, l := d.pickAt, d.pickAt.lane
-	rate := p.pace(l)
-	l.tokens.take(p.now, 1, rate, p.depth(l))
-	trial := ep.sick && ep.goodAt == 0
-	if trial {
-		l.hist.request(p.now) // recovery bounds trial calls harder than the formula would
-	} else if p.dropped(l) {
-		l.pauseUntil = max(l.pauseUntil, p.now+p.usual(d))
+// makeCall makes one call with the picked message and the messages that may share it, unless throttled.
+func (p *Policy) makeCall(d *destination) {
+	ep, l := d.pickedEndpoint, d.pickedEndpoint.limiter
+	rate := p.sendRate(l)
+	l.bucket.take(p.now, 1, rate, p.burst(l))
+	isTrial := ep.ejected && ep.recoveredAt == 0
+	if isTrial {
+		l.history.addRequest(p.now) // the slow-start budget limits trial calls more strictly than throttling
+	} else if p.throttled(l) {
+		l.backoffUntil = max(l.backoffUntil, p.now+p.usualLatency(d))
 		return
-	} else if p.strained(l) {
-		rest := p.turn(l, d.pick) * p.rng.Float64()
-		l.pauseUntil = max(l.pauseUntil, p.now+Time(rest*float64(second)))
+	} else if p.sparseThrottled(l) {
+		backoff := p.roundSeconds(l, d.picked) * p.rng.Float64()
+		l.backoffUntil = max(l.backoffUntil, p.now+Time(backoff*float64(second)))
 		return
 	}
-	c := &call{ep: ep, sent: p.now}
+	c := &call{endpoint: ep, sentAt: p.now}
 	for _, m := range slices.Clone(d.queue) {
-		if c.left >= d.kind.Batch {
+		if c.remaining >= d.kind.MaxBatch {
 			break
 		}
-		if m == d.pick || c.left > 0 && !trial && p.mayShare(m, d.pick, ep) {
-			p.send(m, c)
+		if m == d.picked || c.remaining > 0 && !isTrial && p.mayShareCall(m, d.picked, ep) {
+			p.sendAttempt(m, c)
 		}
 	}
-	if c.left == 0 {
+	if c.remaining == 0 {
 		return
 	}
-	p.spend(ep)
-	l.bound = false
-	if ep.last = c; !p.set.Copies && len(d.queue) > 0 {
-		p.later.add(p.now+1, func() { p.touch(d) })
+	p.spendBudget(ep)
+	l.rateLimited = false
+	if ep.lastCall = c; !p.settings.ParallelAttempts && len(d.queue) > 0 {
+		p.timers.add(p.now+1, func() { p.markPending(d) })
 	}
-	p.fly(c, d.pick)
+	p.trackCall(c, d.picked)
 }
 
-// mayShare: where a message may have one attempt out at a time, those of a call are given up together. One
-// that is given up sooner would be tried again while its call is still out for the others.
-func (p *Policy) mayShare(m, pick *message, ep *endpoint) bool {
-	once := m.class.Repeat == Unsafe
-	same := once == (pick.class.Repeat == Unsafe) && (once || p.span(m, ep) == p.span(pick, ep))
-	return p.set.Copies || same
+// mayShareCall reports whether a message may share a call with the picked one. Where a message may have
+// only one attempt in flight, the messages of a call must time out together: one that timed out sooner
+// would be retried while its call is still in flight for the others.
+func (p *Policy) mayShareCall(m, picked *message, ep *endpoint) bool {
+	nonIdempotent := m.class.Idempotency == NonIdempotent
+	same := nonIdempotent == (picked.class.Idempotency == NonIdempotent) &&
+		(nonIdempotent || p.callTimeout(m, ep) == p.callTimeout(picked, ep))
+	return p.settings.ParallelAttempts || same
 }
 
-// fly books a call that is out; m is the message that it was made for.
-func (p *Policy) fly(c *call, m *message) {
-	ep := c.ep
-	p.later.add(c.sent+p.span(m, ep), func() { p.overdue(c) })
-	if p.set.Cancels {
-		p.review(c)
+// trackCall counts a call as in flight and sets its timers; m is the message that it was made for.
+func (p *Policy) trackCall(c *call, m *message) {
+	ep := c.endpoint
+	p.timers.add(c.sentAt+p.callTimeout(m, ep), func() { p.markOverdue(c) })
+	if p.settings.MayCancel {
+		p.cancelUnderSlotPressure(c)
 	}
-	p.calls++
-	ep.lane.dest.flying++
-	ep.lane.flying++
-	ep.flying++
-	ep.conns = max(ep.conns, (ep.flying+p.set.Streams-1)/p.set.Streams)
+	p.callsInFlight++
+	ep.limiter.dest.inFlight++
+	ep.limiter.inFlight++
+	ep.inFlight++
+	ep.connections = max(ep.connections, (ep.inFlight+p.settings.StreamsPerConn-1)/p.settings.StreamsPerConn)
 }
 
-// send is the one place that sends.
-func (p *Policy) send(m *message, c *call) {
-	if !p.maySend(m, c.ep) {
+// sendAttempt sends a message with a call. No other function sends.
+func (p *Policy) sendAttempt(m *message, c *call) {
+	if !p.maySend(m, c.endpoint) {
 		return
 	}
 	m.dest.queue = slices.DeleteFunc(m.dest.queue, func(x *message) bool { return x == m })
 	m.call = c
-	p.aloft++
-	m.tries++
-	c.left++
-	c.msgs = append(c.msgs, m)
-	p.act(Action{Kind: ActSend, Message: m.id, Endpoint: c.ep.id, At: p.cutAt(m, c.ep)})
+	p.messagesInFlight++
+	m.attempts++
+	c.remaining++
+	c.messages = append(c.messages, m)
+	p.emit(Action{Kind: ActSend, Message: m.id, Endpoint: c.endpoint.id,
+		TimeoutAt: p.timeoutAt(m, c.endpoint)})
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,10 +11,10 @@
 	const second = decide.Time(1e6)
 	p, err := decide.New(decide.Settings{
 		Relays: 2, Slots: 8, MaxAttempts: 6, Tick: 5000, RatesListed: true,
-		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, FallTime: 3 * second,
-		Kinds: []decide.Kind{{Batch: 1}},
-		Classes: []decide.Class{{Name: "order", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3,
-			Repeat: decide.Keyed, DedupWindow: 15 * second}},
+		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, OverloadTime: 3 * second,
+		Kinds: []decide.DestKind{{MaxBatch: 1}},
+		Classes: []decide.Class{{Name: "order", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3,
+			Idempotency: decide.Deduplicated, DedupWindow: 15 * second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -24,7 +24,7 @@
 	actions := p.Step(now, []decide.Event{
 		{Kind: decide.EvList, List: decide.ListFull,
 			Entries: []decide.Entry{{Endpoint: 7, Dest: 1, State: decide.Ready, Rate: 20}}},
-		{Kind: decide.EvMessage, Message: 1, Class: 0, Dest: 1, Left: 20 * second},
+		{Kind: decide.EvMessage, Message: 1, Class: 0, Dest: 1, TimeLeft: 20 * second},
 	}, nil)
 	for _, a := range actions {
 		if a.Kind == decide.ActSend {
@@ -33,7 +33,7 @@
 	}
 	now += second / 5
 	actions = p.Step(now, []decide.Event{{Kind: decide.EvOutcome, Message: 1, Attempt: 0, Endpoint: 7,
-		Outcome: decide.Delivered, Settled: true, Took: second / 5}}, actions[:0])
+		Outcome: decide.Delivered, Final: true, Duration: second / 5}}, actions[:0])
 	fmt.Println("still to do:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -38,7 +38,7 @@
 			if rng.Float64() < n {
 				r := all[rng.IntN(relays)]
 				came++
-				r.due[step%10] = append(r.due[step%10], Event{Kind: EvMessage, Message: r.next, Left: 12 * second})
+				r.due[step%10] = append(r.due[step%10], Event{Kind: EvMessage, Message: r.next, TimeLeft: 12 * second})
 				r.next++
 			}
 		}
@@ -52,12 +52,12 @@
 				e := answer(a, Delivered)
 				if left < 1 {
 					refused++
-					e.Outcome = Full
+					e.Outcome = Rejected
 				} else {
 					taken++
 				}
 				left--
-				e.Took, e.Load = 90000, Load{Left: max(left, 0) / depth, Limit: rate}
+				e.Duration, e.Load = 90000, Load{Remaining: max(left, 0) / depth, Limit: rate}
 				e.Attempt = r.tries[a.Message]
 				r.tries[a.Message]++
 				r.due[(step+9)%10] = append(r.due[(step+9)%10], e)
@@ -110,13 +110,13 @@
 		s := one()
 		s.Relays = 80
 		r := newRig(t, s, ready(1, rate))
-		l := r.p.eps[1].lane
-		if all := 80 * r.p.pace(l); all > 2*rate {
+		l := r.p.endpoints[1].limiter
+		if all := 80 * r.p.sendRate(l); all > 2*rate {
 			t.Errorf("limit %v: %v calls a second of all relays together", rate, all)
 		}
-		l.tokens.take(r.now, 1, r.p.pace(l), r.p.depth(l))
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Full})
-		if all := 80 * l.tokens.level(r.now, r.p.pace(l), r.p.depth(l)); all > rate {
+		l.bucket.take(r.now, 1, r.p.sendRate(l), r.p.burst(l))
+		r.p.observe(&call{endpoint: r.p.endpoints[1], sentAt: r.now, messages: []*message{{class: &r.p.settings.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Rejected})
+		if all := 80 * l.bucket.refill(r.now, r.p.sendRate(l), r.p.burst(l)); all > rate {
 			t.Errorf("limit %v: %v calls saved up by all relays after a refusal", rate, all)
 		}
 	}
@@ -136,9 +136,9 @@
 				t.Fatal(err)
 			}
 			p.Step(1000*second, []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, rate)}}}, nil)
-			e := Event{Kind: EvMessage, Message: 1, Left: 9 * second}
+			e := Event{Kind: EvMessage, Message: 1, TimeLeft: 9 * second}
 			if left {
-				e.Rules = &s.Classes[0]
+				e.OriginalClass = &s.Classes[0]
 			}
 			first += count(p.Step(1000*second, []Event{e}, nil), ActSend)
 			for at := Time(0); at < 2*second; at += second / 100 {
@@ -159,17 +159,17 @@
 		soon := 0
 		for seed := range 100 {
 			s := one()
-			s.Relays, s.Kinds = relays, []Kind{{Apart: true, Batch: 1}}
+			s.Relays, s.Kinds = relays, []DestKind{{SeparateLimits: true, MaxBatch: 1}}
 			p, err := New(s, uint64(seed))
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := 1000 * second
 			acts := p.Step(now, []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, 50), ready(2, 50)}},
-				{Kind: EvMessage, Message: 1, Left: 20 * second}}, nil)
+				{Kind: EvMessage, Message: 1, TimeLeft: 20 * second}}, nil)
 			for _, a := range acts {
 				if a.Kind == ActSend {
-					soon += count(p.Step(now+second/20, []Event{answer(a, Full)}, nil), ActSend)
+					soon += count(p.Step(now+second/20, []Event{answer(a, Rejected)}, nil), ActSend)
 				}
 			}
 		}
@@ -205,10 +205,10 @@
 			now := 1000 * second
 			p.Step(now, []Event{{Kind: EvList, List: ListFull, Entries: list}}, nil)
 			for i := range 8 {
-				p.observe(&call{ep: p.eps[Endpoint(i+1)], sent: now, msgs: []*message{{class: &p.set.Classes[0]}}},
-					&Event{Kind: EvOutcome, Outcome: map[bool]Outcome{true: Delivered, false: Full}[c.taken], Took: second / 10})
+				p.observe(&call{endpoint: p.endpoints[Endpoint(i+1)], sentAt: now, messages: []*message{{class: &p.settings.Classes[0]}}},
+					&Event{Kind: EvOutcome, Outcome: map[bool]Outcome{true: Delivered, false: Rejected}[c.taken], Duration: second / 10})
 			}
-			calls += count(p.Step(now, []Event{{Kind: EvMessage, Message: 1, Dest: 8, Left: 9 * second}}, nil), ActSend)
+			calls += count(p.Step(now, []Event{{Kind: EvMessage, Message: 1, Dest: 8, TimeLeft: 9 * second}}, nil), ActSend)
 		}
 		if calls < c.least || calls > c.most {
 			t.Errorf("%d relays, others taken %v: %d of 100 call at once, want %d to %d", c.relays, c.taken, calls, c.least, c.most)
@@ -222,16 +222,16 @@
 func TestRoutesByTheirRates(t *testing.T) {
 	for _, relays := range []int{2, 300} {
 		s := one()
-		s.Relays, s.Kinds = relays, []Kind{{Apart: true, Batch: 1}}
+		s.Relays, s.Kinds = relays, []DestKind{{SeparateLimits: true, MaxBatch: 1}}
 		small, big := ready(1, 25), ready(2, 75)
 		big.Zone = 1
 		r := newRig(t, s, small, big)
-		r.p.eps[1].lat.add(float64(second / 20))
-		r.p.eps[2].lat.add(float64(second / 10))
-		m := &message{id: 1, class: &r.p.set.Classes[0], dest: r.p.dest(0), aimAt: r.now + second, deadline: r.now + 9*second}
+		r.p.endpoints[1].latency.add(float64(second / 20))
+		r.p.endpoints[2].latency.add(float64(second / 10))
+		m := &message{id: 1, class: &r.p.settings.Classes[0], dest: r.p.destination(0), targetAt: r.now + second, deadline: r.now + 9*second}
 		n := 0
 		for range 2000 {
-			if r.p.choose(m) == r.p.eps[1] {
+			if r.p.chooseEndpoint(m) == r.p.endpoints[1] {
 				n++
 			}
 		}
@@ -247,12 +247,12 @@
 func TestOutageIsNoScarcity(t *testing.T) {
 	for _, refused := range []int{1, 6} { // between two answers
 		r := newRig(t, one(), ready(1, 1000))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		for range 4 {
 			for i := range refused + 1 {
 				r.now += second / 10
-				c := &call{ep: ep, sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}
-				if e := (Event{Kind: EvOutcome, Outcome: NoConnect}); i < refused {
+				c := &call{endpoint: ep, sentAt: r.now, messages: []*message{{class: &r.p.settings.Classes[0]}}}
+				if e := (Event{Kind: EvOutcome, Outcome: ConnectFailed}); i < refused {
 					r.p.observe(c, &e)
 				} else {
 					e.Outcome = Delivered
@@ -260,8 +260,8 @@
 				}
 			}
 		}
-		if tight := r.p.tight[0] > noConnTight; tight != (refused == 1) {
-			t.Errorf("%d refused before each answer: connections taken to run out: %v (%.2f)", refused, tight, r.p.tight[0])
+		if tight := r.p.noConnectionShare[0] > scarceConnectionShare; tight != (refused == 1) {
+			t.Errorf("%d refused before each answer: connections taken to run out: %v (%.2f)", refused, tight, r.p.noConnectionShare[0])
 		}
 	}
 }
@@ -276,16 +276,16 @@
 		failures int
 	}{{3, 290, 3}, {3, 4, 3}, {60, 290, 3}, {350, 290, 2}, {3000, 290, 1}} {
 		s := one()
-		s.Relays, s.FallTime = c.relays, 2*second
+		s.Relays, s.OverloadTime = c.relays, 2*second
 		r := newRig(t, s, ready(1, c.rate))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		for n := 1; n <= 3; n++ {
 			r.now += second
 			r.p.now = r.now
-			r.p.observe(&call{ep: ep, sent: r.now - second, msgs: []*message{{class: &r.p.set.Classes[0]}}},
-				&Event{Kind: EvOutcome, Outcome: NoConnect})
-			if ep.sick != (n >= c.failures) {
-				t.Errorf("%d relays, %v calls a second: held to be out is %v after %d failures", c.relays, c.rate, ep.sick, n)
+			r.p.observe(&call{endpoint: ep, sentAt: r.now - second, messages: []*message{{class: &r.p.settings.Classes[0]}}},
+				&Event{Kind: EvOutcome, Outcome: ConnectFailed})
+			if ep.ejected != (n >= c.failures) {
+				t.Errorf("%d relays, %v calls a second: held to be out is %v after %d failures", c.relays, c.rate, ep.ejected, n)
 			}
 		}
 	}
@@ -297,19 +297,19 @@
 	s := one()
 	s.Relays, s.RatesListed = 300, false
 	r := newRig(t, s, ready(1, 0))
-	ep := r.p.eps[1]
-	l := ep.lane
+	ep := r.p.endpoints[1]
+	l := ep.limiter
 	l.window = 4
 	for range 4 {
 		r.now += second
 		r.p.now = r.now
-		r.p.observe(&call{ep: ep, sent: r.now - second/10, msgs: []*message{{class: &r.p.set.Classes[0]}}},
-			&Event{Kind: EvOutcome, Outcome: Full, Crowded: true})
+		r.p.observe(&call{endpoint: ep, sentAt: r.now - second/10, messages: []*message{{class: &r.p.settings.Classes[0]}}},
+			&Event{Kind: EvOutcome, Outcome: Rejected, NoFreeConnection: true})
 	}
-	if ep.sick || ep.score > 0 || l.window != 4 || l.boost != 1 || l.fullRun != 0 || l.nominal != 0 {
-		t.Errorf("out %v, score %v, window %v, pace by %v, refusals in a row %d, rate %v", ep.sick, ep.score, l.window, l.boost, l.fullRun, l.nominal)
+	if ep.ejected || ep.failureScore > 0 || l.window != 4 || l.rateFactor != 1 || l.rejectionRun != 0 || l.nominalRate != 0 {
+		t.Errorf("out %v, score %v, window %v, pace by %v, refusals in a row %d, rate %v", ep.ejected, ep.failureScore, l.window, l.rateFactor, l.rejectionRun, l.nominalRate)
 	}
-	if l.pauseUntil <= r.now || r.p.keep(ep) >= s.KeepAlive {
-		t.Errorf("rests for %d us, keeps what is idle for %d", l.pauseUntil-r.now, r.p.keep(ep))
+	if l.backoffUntil <= r.now || r.p.idleTimeout(ep) >= s.KeepAlive {
+		t.Errorf("rests for %d us, keeps what is idle for %d", l.backoffUntil-r.now, r.p.idleTimeout(ep))
 	}
 }
--- a/decide/held.go
+++ b/decide/held.go
@@ -5,137 +5,138 @@
 	"slices"
 )
 
-// Which destinations are held. Without a directory it is all that lists have
-// named; with one, those that a message came for, until nothing of them is owed,
-// out, told or learned any more. Nothing is chosen for a message here.
-
-// lapseLeast is the least time without use after which what was learned of a quiet
-// destination counts no more. The settings may make it longer.
-const lapseLeast = 60 * second
-
-// held is what a policy knows of what it holds.
-type held struct {
-	directory Directory
-	entries   []Entry // a buffer
-	lapse     Time
-	oldest    *dest // not looked at for longest
-	newest    *dest
-	keepAll   bool // for tests: nothing is let go
+// Which destinations have state in memory. Without a directory these are all that lists have named. With
+// one, they are those that messages have come for; the state of a destination is evicted once no message,
+// call, wait, outage or recent observation depends on it. No dispatch decision is made in this file.
+
+// minIdleRetention is the least time without use after which the observations of a destination expire. The
+// settings may make it longer.
+const minIdleRetention = 60 * second
+
+// destinationCache keeps the destinations in the order in which they were last used or checked.
+type destinationCache struct {
+	directory     Directory
+	entryBuffer   []Entry      // reused between calls
+	idleRetention Time         // time without use after which observations expire
+	leastRecent   *destination // used or checked longest ago
+	mostRecent    *destination
+	neverEvict    bool // for tests: nothing is evicted
 }
 
-// heldDest is a destination's part of it.
-type heldDest struct {
+// destinationUse is the place of a destination in the destinationCache.
+type destinationUse struct {
 	usedAt       Time // last message or outcome
-	lookedAt     Time // last time in the order of use, or of looks
-	older, newer *dest
+	checkedAt    Time // last use or check for eviction
+	older, newer *destination
 }
 
-// Use has the policy ask a directory from here on. It is for a policy that has
-// seen no list yet.
-func (p *Policy) Use(d Directory) { p.directory = d }
+// UseDirectory makes the policy take the endpoints of destinations from a directory. It must be called
+// before the first list.
+func (p *Policy) UseDirectory(directory Directory) { p.directory = directory }
 
-// dest gives a destination's state, made where there is none.
-func (p *Policy) dest(id int) *dest {
-	d := p.dests[id]
+// destination returns the state of a destination and creates it if there is none.
+func (p *Policy) destination(id int) *destination {
+	d := p.destinations[id]
 	if d == nil {
-		d = &dest{id: id, kind: Kind{Batch: 1}}
-		p.dests[id] = d
+		d = &destination{id: id, kind: DestKind{MaxBatch: 1}}
+		p.destinations[id] = d
 		if p.directory != nil {
-			p.entries = p.directory.Endpoints(id, p.entries[:0])
-			p.joinAll(d)
+			p.entryBuffer = p.directory.Endpoints(id, p.entryBuffer[:0])
+			p.addListedEndpoints(d)
 		}
 	}
 	return d
 }
 
-// joinAll lets a destination without lanes have those of the entries in the buffer.
-func (p *Policy) joinAll(d *dest) {
-	d.kind, d.kindAt = Kind{Batch: 1}, 0
-	for i := range p.entries {
-		x := &p.entries[i]
-		if old := p.eps[x.Endpoint]; old != nil && old.lane.dest.id != d.id {
-			p.leave(old) // it moved, which the list's change is still to say
+// addListedEndpoints adds the endpoints in entryBuffer to a destination that has no limiters.
+func (p *Policy) addListedEndpoints(d *destination) {
+	d.kind, d.kindIndex = DestKind{MaxBatch: 1}, 0
+	for i := range p.entryBuffer {
+		entry := &p.entryBuffer[i]
+		if moved := p.endpoints[entry.Endpoint]; moved != nil && moved.limiter.dest.id != d.id {
+			p.removeEndpoint(moved) // it moved here; the list update that says so is still to come
 		}
-		p.list(p.joinTo(d, x), x)
+		p.applyEntry(p.addEndpointTo(d, entry), entry)
 	}
 }
 
-// use notes that something happened at a destination.
-func (p *Policy) use(d *dest) {
+// recordUse notes that a destination was used now.
+func (p *Policy) recordUse(d *destination) {
 	d.usedAt = p.now
-	p.last(d)
+	p.moveToMostRecent(d)
 }
 
-// last puts a destination last in the order in which they are looked at.
-func (p *Policy) last(d *dest) {
-	if d.lookedAt = p.now; p.newest == d {
+// moveToMostRecent moves a destination to the end of the order in which evictExpired checks.
+func (p *Policy) moveToMostRecent(d *destination) {
+	if d.checkedAt = p.now; p.mostRecent == d {
 		return
 	}
 	p.unlink(d)
-	if d.older = p.newest; d.older != nil {
+	if d.older = p.mostRecent; d.older != nil {
 		d.older.newer = d
 	} else {
-		p.oldest = d
+		p.leastRecent = d
 	}
-	p.newest = d
+	p.mostRecent = d
 }
 
-func (p *Policy) unlink(d *dest) {
+// unlink takes a destination out of that order.
+func (p *Policy) unlink(d *destination) {
 	if d.older != nil {
 		d.older.newer = d.newer
-	} else if p.oldest == d {
-		p.oldest = d.newer
+	} else if p.leastRecent == d {
+		p.leastRecent = d.newer
 	}
 	if d.newer != nil {
 		d.newer.older = d.older
-	} else if p.newest == d {
-		p.newest = d.older
+	} else if p.mostRecent == d {
+		p.mostRecent = d.older
 	}
 	d.older, d.newer = nil, nil
 }
 
-// used gives the destination of a new message. What was learned of one that has
-// been quiet for long has lapsed: it is as one that was let go and comes back.
-func (p *Policy) used(id int) *dest {
-	d := p.dest(id)
-	p.renew(d)
-	p.use(d)
+// destinationInUse returns the destination of a new message and notes its use. If its observations have
+// expired, they are reset, as if it had been evicted and created again.
+func (p *Policy) destinationInUse(id int) *destination {
+	d := p.destination(id)
+	p.resetIfExpired(d)
+	p.recordUse(d)
 	return d
 }
 
-// renew makes a destination of which all has lapsed anew.
-func (p *Policy) renew(d *dest) {
-	if d.usedAt > 0 && p.lapsed(d) {
-		if p.entries = p.entries[:0]; p.directory != nil {
-			p.entries = p.directory.Endpoints(d.id, p.entries)
+// resetIfExpired resets the limiters and endpoints of a destination whose observations have expired.
+func (p *Policy) resetIfExpired(d *destination) {
+	if d.usedAt > 0 && p.expired(d) {
+		if p.entryBuffer = p.entryBuffer[:0]; p.directory != nil {
+			p.entryBuffer = p.directory.Endpoints(d.id, p.entryBuffer)
 		}
-		for _, l := range d.lanes {
-			for _, ep := range l.eps {
-				if p.drop(ep); p.directory == nil {
-					p.entries = append(p.entries, Entry{Endpoint: ep.id, Zone: ep.zone, Kind: ep.kind,
+		for _, l := range d.limiters {
+			for _, ep := range l.endpoints {
+				if p.forgetEndpoint(ep); p.directory == nil {
+					p.entryBuffer = append(p.entryBuffer, Entry{Endpoint: ep.id, Zone: ep.zone, Kind: ep.kind,
 						Dest: d.id, State: ep.state, Rate: ep.rate})
 				}
 			}
 		}
-		d.lanes = nil
-		p.joinAll(d)
+		d.limiters = nil
+		p.addListedEndpoints(d)
 	}
 }
 
-// lapsed: nothing is owed, out, told or awaited at a destination, and it has not
-// been used for as long as what was learned there counts. Time alone does not undo it.
-func (p *Policy) lapsed(d *dest) bool {
-	if p.now-d.usedAt < p.lapse || len(d.queue) > 0 || d.flying > 0 ||
-		d.pick != nil || d.ready || d.wakes > p.now {
+// expired reports whether no message, call, wait, outage or timer depends on the state of a destination,
+// and its observations are too old to count. Once true, it stays true until the destination is used.
+func (p *Policy) expired(d *destination) bool {
+	if p.now-d.usedAt < p.idleRetention || len(d.queue) > 0 || d.inFlight > 0 ||
+		d.picked != nil || d.dispatchable || d.lastWakeAt > p.now {
 		return false
 	}
-	for _, l := range d.lanes {
-		if l.waitUntil > p.now || l.pauseUntil > p.now {
+	for _, l := range d.limiters {
+		if l.retryAfterUntil > p.now || l.backoffUntil > p.now {
 			return false
 		}
-		for _, ep := range l.eps {
-			ramps := ep.sick && (ep.goodAt == 0 || p.now-ep.goodAt < p.set.RampTime)
-			if ramps || ep.flying > 0 || ep.watched || ep.restUntil > p.now {
+		for _, ep := range l.endpoints {
+			rampingUp := ep.ejected && (ep.recoveredAt == 0 || p.now-ep.recoveredAt < p.settings.RampTime)
+			if rampingUp || ep.inFlight > 0 || ep.idleCheckPending || ep.backoffUntil > p.now {
 				return false
 			}
 		}
@@ -143,52 +144,51 @@
 	return true
 }
 
-// tidy looks at up to most of those that have not been used or looked at for long,
-// and lets go of what has lapsed.
-func (p *Policy) tidy(most int) {
+// evictExpired checks the destinations used or checked longest ago, up to limit, and evicts expired ones.
+func (p *Policy) evictExpired(limit int) {
 	if p.directory == nil {
 		return
 	}
-	for ; most > 0 && p.oldest != nil && p.now-p.oldest.lookedAt >= p.lapse; most-- {
-		d := p.oldest
-		if p.keepAll || !p.lapsed(d) {
-			for _, l := range d.lanes {
-				l.hist.trim(p.now)
-				for _, ep := range l.eps {
-					ep.last = nil // it keeps a call and its messages
+	for ; limit > 0 && p.leastRecent != nil && p.now-p.leastRecent.checkedAt >= p.idleRetention; limit-- {
+		d := p.leastRecent
+		if p.neverEvict || !p.expired(d) {
+			for _, l := range d.limiters {
+				l.history.releaseEmptyBins(p.now)
+				for _, ep := range l.endpoints {
+					ep.lastCall = nil // it refers to a call and its messages
 				}
 			}
-			p.last(d)
+			p.moveToMostRecent(d)
 			continue
 		}
 		p.unlink(d)
-		delete(p.dests, d.id)
-		for _, l := range d.lanes {
-			for _, ep := range l.eps {
-				p.drop(ep)
-				p.act(Action{Kind: ActRelease, Endpoint: ep.id})
+		delete(p.destinations, d.id)
+		for _, l := range d.limiters {
+			for _, ep := range l.endpoints {
+				p.forgetEndpoint(ep)
+				p.emit(Action{Kind: ActRelease, Endpoint: ep.id})
 			}
 		}
 	}
 }
 
-// drop forgets an endpoint of which all has lapsed; its ramp may be over since.
-func (p *Policy) drop(ep *endpoint) {
-	if delete(p.eps, ep.id); ep.sick || ep.suspected() {
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+// forgetEndpoint removes an endpoint whose observations have expired, and reports the end of any outage.
+func (p *Policy) forgetEndpoint(ep *endpoint) {
+	if delete(p.endpoints, ep.id); ep.ejected || ep.suspected() {
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 	}
 }
 
-// touchWaiting has all destinations looked at that hold messages, in order.
-func (p *Policy) touchWaiting() {
-	at := len(p.touched)
-	for _, m := range p.live {
+// markWaitingPending schedules all destinations with waiting messages for evaluation, in order of their ids.
+func (p *Policy) markWaitingPending() {
+	start := len(p.pending)
+	for _, m := range p.unfinished {
 		if m.call == nil {
-			p.touch(m.dest)
+			p.markPending(m.dest)
 		}
 	}
-	slices.SortFunc(p.touched[at:], func(a, b *dest) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(p.pending[start:], func(a, b *destination) int { return cmp.Compare(a.id, b.id) })
 }
 
-// Holds tells whether a destination's state is held.
-func (p *Policy) Holds(dest int) bool { return p.dests[dest] != nil }
+// HoldsDestination reports whether the policy has state of a destination.
+func (p *Policy) HoldsDestination(dest int) bool { return p.destinations[dest] != nil }
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -24,8 +24,8 @@
 	}
 	at := rng.IntN(len(b[dest]))
 	x := b[dest][at]
-	switch x.State = Readiness(rng.IntN(3)); {
-	case x.State == Gone:
+	switch x.State = EndpointState(rng.IntN(3)); {
+	case x.State == Removed:
 		b[dest] = slices.Delete(slices.Clone(b[dest]), at, at+1)
 	case rng.IntN(6) == 0: // it moves
 		b[dest] = slices.Delete(slices.Clone(b[dest]), at, at+1)
@@ -47,9 +47,9 @@
 	rng := rand.New(rand.NewPCG(seed, 77))
 	s := one()
 	s.Relays = []int{1, 3, 40, 400}[seed%4]
-	s.Kinds = []Kind{{Batch: 1}, {Batch: 3, Apart: true}}
-	s.Classes = append(s.Classes, Class{Name: "u", Aim: second, Deadline: 15 * second, Worth: 3, Repeat: Unsafe},
-		Class{Name: "k", Aim: second, Deadline: 10 * second, Worth: 2, Repeat: Keyed, DedupWindow: 8 * second, InOrder: true})
+	s.Kinds = []DestKind{{MaxBatch: 1}, {MaxBatch: 3, SeparateLimits: true}}
+	s.Classes = append(s.Classes, Class{Name: "u", TargetTime: second, Deadline: 15 * second, Worth: 3, Idempotency: NonIdempotent},
+		Class{Name: "k", TargetTime: second, Deadline: 10 * second, Worth: 2, Idempotency: Deduplicated, DedupWindow: 8 * second, InOrder: true})
 	p, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -58,8 +58,8 @@
 	for range 2 * dests {
 		b.change(rng, dests, &next)
 	}
-	p.Use(b)
-	p.keepAll = keepAll
+	p.UseDirectory(b)
+	p.neverEvict = keepAll
 	now, id := 1000*second, uint32(0)
 	down := map[int]Time{}
 	type due struct {
@@ -85,10 +85,10 @@
 			dest := min(rng.IntN(dests), rng.IntN(dests), rng.IntN(dests))
 			class := rng.IntN(3)
 			events = append(events, Event{Kind: EvMessage, Message: id, Class: class, Dest: dest, Key: uint64(1 + rng.IntN(9)),
-				Left: s.Classes[class].Deadline, Tenant: -1})
+				TimeLeft: s.Classes[class].Deadline, Tenant: -1})
 		}
 		if rng.IntN(10) == 0 {
-			events = append(events, Event{Kind: EvList, List: ListChange, Entries: b.change(rng, dests, &next)})
+			events = append(events, Event{Kind: EvList, List: ListDelta, Entries: b.change(rng, dests, &next)})
 		}
 		if rng.IntN(30) == 0 {
 			down[rng.IntN(dests)] = now + Time(rng.IntN(int(40*second)))
@@ -113,7 +113,7 @@
 			if a.Kind != ActSend {
 				continue
 			}
-			e := Event{Kind: EvOutcome, Message: a.Message, Attempt: tries[a.Message], Endpoint: a.Endpoint, Took: second / 10}
+			e := Event{Kind: EvOutcome, Message: a.Message, Attempt: tries[a.Message], Endpoint: a.Endpoint, Duration: second / 10}
 			tries[a.Message]++
 			at := now + Time(rng.IntN(int(second/4)))
 			dest := -1
@@ -124,17 +124,17 @@
 			}
 			switch {
 			case down[dest] > now:
-				e.Outcome = []Outcome{TimedOut, NoConnect, Errored, Reset}[rng.IntN(4)]
+				e.Outcome = []Outcome{TimedOut, ConnectFailed, Errored, Reset}[rng.IntN(4)]
 			case rng.IntN(12) == 0:
-				e.Outcome, e.Wait = Full, Time(rng.IntN(int(90*second)))
+				e.Outcome, e.RetryAfter = Rejected, Time(rng.IntN(int(90*second)))
 			case rng.IntN(12) == 0:
-				e.Outcome = Full
+				e.Outcome = Rejected
 			default:
-				e.Outcome, e.Settled = Delivered, true
+				e.Outcome, e.Final = Delivered, true
 			}
 			out = append(out, due{at, e})
 		}
-		most = max(most, len(p.eps))
+		most = max(most, len(p.endpoints))
 	}
 	return did, released, most
 }
@@ -183,17 +183,17 @@
 // go, however long nothing comes for it; one that is only quiet is.
 func TestWaitOutlivesIdleness(t *testing.T) {
 	s := one()
-	s.KeepAlive, s.FallTime = 0, 900*second // a long wait is no outage
+	s.KeepAlive, s.OverloadTime = 0, 900*second // a long wait is no outage
 	p, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Use(quietWorld{10})
+	p.UseDirectory(quietWorld{10})
 	now, id := 1000*second, uint32(0)
 	send := func(dest int, ends ...Event) {
 		for _, e := range ends {
 			id++
-			for _, a := range p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: dest, Left: 20 * second, Tenant: -1}}, nil) {
+			for _, a := range p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: dest, TimeLeft: 20 * second, Tenant: -1}}, nil) {
 				if a.Kind == ActSend {
 					e.Kind, e.Message, e.Endpoint = EvOutcome, a.Message, a.Endpoint
 					p.Step(now+1000, []Event{e, {Kind: EvWithdraw, Message: a.Message}}, nil)
@@ -202,12 +202,12 @@
 			now += second
 		}
 	}
-	send(1, Event{Outcome: Delivered, Settled: true})
-	send(2, Event{Outcome: Full, Wait: 500 * second})
-	send(3, Event{Outcome: NoConnect}, Event{Outcome: NoConnect}, Event{Outcome: NoConnect}, Event{Outcome: NoConnect}, Event{Outcome: NoConnect})
+	send(1, Event{Outcome: Delivered, Final: true})
+	send(2, Event{Outcome: Rejected, RetryAfter: 500 * second})
+	send(3, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed})
 	sick := false
-	for _, ep := range p.dests[3].lanes[0].eps {
-		sick = sick || ep.sick
+	for _, ep := range p.destinations[3].limiters[0].endpoints {
+		sick = sick || ep.ejected
 	}
 	if !sick {
 		t.Fatal("destination 3 is not seen to be out")
@@ -216,15 +216,15 @@
 		now += 50 * second
 		p.Step(now, nil, nil)
 	}
-	if p.dests[1] != nil || p.dests[2] == nil || p.dests[3] == nil {
-		t.Errorf("held: quiet %v, told to wait %v, out %v", p.dests[1] != nil, p.dests[2] != nil, p.dests[3] != nil)
+	if p.destinations[1] != nil || p.destinations[2] == nil || p.destinations[3] == nil {
+		t.Errorf("held: quiet %v, told to wait %v, out %v", p.destinations[1] != nil, p.destinations[2] != nil, p.destinations[3] != nil)
 	}
 	for range 9 {
 		now += 50 * second
 		p.Step(now, nil, nil)
 	}
-	if p.dests[2] != nil || p.dests[3] == nil || len(p.eps) != 2 {
-		t.Errorf("later: told to wait %v, out %v, %d endpoints", p.dests[2] != nil, p.dests[3] != nil, len(p.eps))
+	if p.destinations[2] != nil || p.destinations[3] == nil || len(p.endpoints) != 2 {
+		t.Errorf("later: told to wait %v, out %v, %d endpoints", p.destinations[2] != nil, p.destinations[3] != nil, len(p.endpoints))
 	}
 }
 
@@ -244,19 +244,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Use(quietWorld{dests})
+	p.UseDirectory(quietWorld{dests})
 	before := heap()
 	now := 1000 * second
 	for dest := range dests {
 		id := uint32(dest + 1)
-		for _, a := range p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: dest, Left: 20 * second, Tenant: -1}}, nil) {
+		for _, a := range p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: dest, TimeLeft: 20 * second, Tenant: -1}}, nil) {
 			if a.Kind == ActSend {
 				p.Step(now, []Event{answer(a, Delivered)}, nil)
 			}
 		}
 	}
-	if len(p.dests) != dests || len(p.msgs) > 0 {
-		t.Fatalf("%d destinations and %d messages held", len(p.dests), len(p.msgs))
+	if len(p.destinations) != dests || len(p.messages) > 0 {
+		t.Fatalf("%d destinations and %d messages held", len(p.destinations), len(p.messages))
 	}
 	now += 30 * second
 	p.Step(now, nil, nil) // timers of the messages are over
@@ -269,8 +269,8 @@
 		now += second
 		p.Step(now, nil, nil)
 	}
-	if len(p.dests) > 0 || len(p.eps) > 0 {
-		t.Errorf("%d destinations and %d endpoints still held", len(p.dests), len(p.eps))
+	if len(p.destinations) > 0 || len(p.endpoints) > 0 {
+		t.Errorf("%d destinations and %d endpoints still held", len(p.destinations), len(p.endpoints))
 	}
 	runtime.KeepAlive(p)
 }
@@ -286,7 +286,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Use(quietWorld{dests})
+		p.UseDirectory(quietWorld{dests})
 		now, id := 1000*second, uint32(0)
 		acts := make([]Action, 0, 64)
 		step := func(e ...Event) {
@@ -295,17 +295,17 @@
 		}
 		run := func() {
 			id++
-			step(Event{Kind: EvMessage, Message: id, Dest: int(id) * 7919 % dests, Left: 20 * second, Tenant: -1})
+			step(Event{Kind: EvMessage, Message: id, Dest: int(id) * 7919 % dests, TimeLeft: 20 * second, Tenant: -1})
 			for _, a := range slices.Clone(acts) {
 				if a.Kind == ActSend {
 					e := answer(a, Delivered)
 					if id%10 == 0 {
-						e.Settled, e.Outcome, e.Wait = false, Full, second
+						e.Final, e.Outcome, e.RetryAfter = false, Rejected, second
 					}
 					step(e)
 				}
 			}
-			step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: Endpoint(2*(int(id)%dests) + 1), Dest: int(id) % dests, State: Ready, Rate: 5}}})
+			step(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Endpoint: Endpoint(2*(int(id)%dests) + 1), Dest: int(id) % dests, State: Ready, Rate: 5}}})
 			set := s
 			set.MaxAttempts = 5 + int(id%2)
 			step(Event{Kind: EvSettings, Settings: &set})
@@ -313,9 +313,9 @@
 		for range 2000 { // past the first time that something lapses
 			run()
 		}
-		looks = p.looks
+		looks = p.nextDispatchScans
 		allocs = testing.AllocsPerRun(500, run)
-		return allocs, p.looks - looks
+		return allocs, p.nextDispatchScans - looks
 	}
 	few, fewLooks := cost(1000)
 	many, manyLooks := cost(880_000)
@@ -329,23 +329,23 @@
 // back is sent nothing before that wait is over, and messages afterwards.
 func TestRouteComesBackInItsWait(t *testing.T) {
 	s := one()
-	s.Kinds, s.KeepAlive = []Kind{{Batch: 1, Apart: true}}, 0
+	s.Kinds, s.KeepAlive = []DestKind{{MaxBatch: 1, SeparateLimits: true}}, 0
 	r := newRig(t, s, ready(1, 10))
 	r.step(r.message(0, 0))
-	e := answer(r.sends[0], Full)
-	e.Wait = 2 * second
+	e := answer(r.sends[0], Rejected)
+	e.RetryAfter = 2 * second
 	told := r.now
 	r.step(e)
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: 1, State: Gone}}})
+	r.step(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Endpoint: 1, State: Removed}}})
 	r.now += second
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{ready(1, 10)}})
+	r.step(Event{Kind: EvList, List: ListDelta, Entries: []Entry{ready(1, 10)}})
 	for range 100 {
 		r.now += second / 10
 		if r.step(); len(r.sends) > 0 {
 			break
 		}
 	}
-	if len(r.sends) == 0 || r.now < told+e.Wait {
+	if len(r.sends) == 0 || r.now < told+e.RetryAfter {
 		t.Errorf("%d sends %d ms after the wait was told", len(r.sends), (r.now-told)/1000)
 	}
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -2,104 +2,111 @@
 
 import "slices"
 
-// Membership: changes of discovery's list, draining and departure.
+// Membership: updates of the discovery list; endpoints that join, drain and leave.
 
-// members takes news of the list. What is draining or gone gets nothing new from this moment on.
-func (p *Policy) members(e *Event) {
+// applyList applies an update of the list. Draining and removed endpoints get no new calls from then on.
+func (p *Policy) applyList(e *Event) {
 	if e.List == ListFailed {
-		return // asked again by the clock
+		return // the next request follows by timer
 	}
-	seen := map[Endpoint]bool{}
+	listed := map[Endpoint]bool{}
 	for i := range e.Entries {
-		x := &e.Entries[i]
-		seen[x.Endpoint] = true
-		ep := p.eps[x.Endpoint]
-		if ep != nil && ep.state == Gone { // a route that left in a wait comes anew, with that wait
+		entry := &e.Entries[i]
+		listed[entry.Endpoint] = true
+		ep := p.endpoints[entry.Endpoint]
+		// A route that was removed during a wait is added anew and keeps that wait.
+		if ep != nil && ep.state == Removed {
 			ep = nil
 		}
-		if ep != nil && ep.lane.dest.id != x.Dest { // it moved: nothing of the old place may be sent to
-			p.leave(ep)
+		// An endpoint that has moved to another destination must not be used for the old one.
+		if ep != nil && ep.limiter.dest.id != entry.Dest {
+			p.removeEndpoint(ep)
 			ep = nil
 		}
 		switch {
-		case x.State == Gone:
+		case entry.State == Removed:
 			if ep != nil {
-				p.leave(ep)
+				p.removeEndpoint(ep)
 			}
 			continue
-		case ep == nil && p.directory != nil && p.dests[x.Dest] == nil:
-			continue // it is asked for when a message comes
+		case ep == nil && p.directory != nil && p.destinations[entry.Dest] == nil:
+			continue // the directory is asked when a message comes
 		case ep == nil:
-			if d := p.dests[x.Dest]; d != nil { // a wait that comes along must not hold on to what has lapsed
-				p.renew(d)
+			// Expired state goes first: a wait that the endpoint brings along would keep it alive.
+			if d := p.destinations[entry.Dest]; d != nil {
+				p.resetIfExpired(d)
 			}
-			if ep = p.eps[x.Endpoint]; ep == nil || ep.state == Gone || ep.lane.dest.id != x.Dest {
-				ep = p.join(x)
+			if ep = p.endpoints[entry.Endpoint]; ep == nil || ep.state == Removed ||
+				ep.limiter.dest.id != entry.Dest {
+				ep = p.addEndpoint(entry)
 			}
 		}
-		p.list(ep, x)
-		if p.directory == nil || len(ep.lane.dest.queue) > 0 {
-			p.touch(ep.lane.dest)
+		p.applyEntry(ep, entry)
+		if p.directory == nil || len(ep.limiter.dest.queue) > 0 {
+			p.markPending(ep.limiter.dest)
 		}
 	}
 	if e.List == ListFull || e.List == ListCached {
-		for id, ep := range p.eps { // each leaves by itself: the order does not matter
-			if !seen[id] {
-				p.leave(ep)
+		for id, ep := range p.endpoints { // the removals are independent; their order does not matter
+			if !listed[id] {
+				p.removeEndpoint(ep)
 			}
 		}
 	}
 }
 
-// list takes what an entry says of its endpoint.
-func (p *Policy) list(ep *endpoint, x *Entry) {
-	ep.state, ep.zone, ep.kind, ep.rate = x.State, x.Zone, x.Kind, x.Rate
-	if p.set.RatesListed && x.Rate > 0 {
-		ep.lane.nominal = x.Rate
+// applyEntry updates an endpoint from its entry in the list.
+func (p *Policy) applyEntry(ep *endpoint, entry *Entry) {
+	ep.state, ep.zone, ep.kind, ep.rate = entry.State, entry.Zone, entry.Kind, entry.Rate
+	if p.settings.RatesListed && entry.Rate > 0 {
+		ep.limiter.nominalRate = entry.Rate
 	}
 }
 
-// leave lets go of an endpoint, sick or not; calls still out there keep their place in the books. A route
-// with a wait in force stays, so that the wait binds it if it comes back.
-func (p *Policy) leave(ep *endpoint) {
-	if ep.state = Gone; ep.sick || ep.suspected() {
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+// removeEndpoint removes an endpoint, ejected or not; its calls in flight are still accounted for. A route
+// with a wait in force stays known until the wait is over, so that it applies if the route comes back.
+func (p *Policy) removeEndpoint(ep *endpoint) {
+	if ep.state = Removed; ep.ejected || ep.suspected() {
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 	}
-	l := ep.lane
-	if p.eps[ep.id] == ep && (!l.dest.kind.Apart || l.waitUntil <= p.now) {
-		delete(p.eps, ep.id)
-	} else if p.eps[ep.id] == ep {
-		p.later.add(l.waitUntil, func() {
-			if p.eps[ep.id] == ep && ep.state == Gone {
-				p.leave(ep)
+	l := ep.limiter
+	if p.endpoints[ep.id] == ep && (!l.dest.kind.SeparateLimits || l.retryAfterUntil <= p.now) {
+		delete(p.endpoints, ep.id)
+	} else if p.endpoints[ep.id] == ep {
+		p.timers.add(l.retryAfterUntil, func() {
+			if p.endpoints[ep.id] == ep && ep.state == Removed {
+				p.removeEndpoint(ep)
 			}
 		})
 	}
-	l.eps = slices.DeleteFunc(l.eps, func(x *endpoint) bool { return x == ep })
-	if l.dest.kind.Apart {
-		l.dest.lanes = slices.DeleteFunc(l.dest.lanes, func(x *lane) bool { return x == l })
+	l.endpoints = slices.DeleteFunc(l.endpoints, func(x *endpoint) bool { return x == ep })
+	if l.dest.kind.SeparateLimits {
+		l.dest.limiters = slices.DeleteFunc(l.dest.limiters, func(x *limiter) bool { return x == l })
 	}
 }
 
-// join makes the endpoint of an entry at the destination that the entry names.
-func (p *Policy) join(x *Entry) *endpoint { return p.joinTo(p.dest(x.Dest), x) }
+// addEndpoint adds the endpoint of an entry to the destination that the entry names.
+func (p *Policy) addEndpoint(entry *Entry) *endpoint {
+	return p.addEndpointTo(p.destination(entry.Dest), entry)
+}
 
-// joinTo makes the endpoint of an entry, in the lane of the destination or, where routes are apart, its own.
-func (p *Policy) joinTo(d *dest, x *Entry) *endpoint {
-	if x.Kind >= 0 && x.Kind < len(p.set.Kinds) {
-		d.kind, d.kindAt = p.set.Kinds[x.Kind], x.Kind
+// addEndpointTo adds the endpoint of an entry to the limiter of the destination or, with separate limits,
+// to a limiter of its own.
+func (p *Policy) addEndpointTo(d *destination, entry *Entry) *endpoint {
+	if entry.Kind >= 0 && entry.Kind < len(p.settings.Kinds) {
+		d.kind, d.kindIndex = p.settings.Kinds[entry.Kind], entry.Kind
 	}
-	d.kind.Batch = max(d.kind.Batch, 1)
-	if len(d.lanes) == 0 || d.kind.Apart {
-		d.lanes = append(d.lanes, &lane{dest: d, window: 1, boost: 1,
-			hist: newCounter(historySpan, historyBins)})
+	d.kind.MaxBatch = max(d.kind.MaxBatch, 1)
+	if len(d.limiters) == 0 || d.kind.SeparateLimits {
+		d.limiters = append(d.limiters, &limiter{dest: d, window: 1, rateFactor: 1,
+			history: newRollingCounter(historySpan, historyBins)})
 	}
-	l := d.lanes[len(d.lanes)-1]
-	if old := p.eps[x.Endpoint]; old != nil && d.kind.Apart {
-		l.waitUntil = old.lane.waitUntil
+	l := d.limiters[len(d.limiters)-1]
+	if previous := p.endpoints[entry.Endpoint]; previous != nil && d.kind.SeparateLimits {
+		l.retryAfterUntil = previous.limiter.retryAfterUntil
 	}
-	ep := &endpoint{id: x.Endpoint, lane: l}
-	l.eps = append(l.eps, ep)
-	p.eps[x.Endpoint] = ep
+	ep := &endpoint{id: entry.Endpoint, limiter: l}
+	l.endpoints = append(l.endpoints, ep)
+	p.endpoints[entry.Endpoint] = ep
 	return ep
 }
--- a/decide/memory.go
+++ b/decide/memory.go
@@ -5,192 +5,226 @@
 	"slices"
 )
 
-// What a policy has learned of the destinations, in a form that another process
-// can take up: when a relay is replaced while it runs, its windows, waits and
-// outages must not be. Moments are those of the clock that both processes share.
-// Nothing is decided here.
-
-// Memory is what a policy remembers of all destinations.
-type Memory struct {
-	Lanes []LaneMemory
-	Lat   LatencyMemory
+// Snapshots of what a policy has learned about the destinations. A successor process restores them, so that
+// the replacement of a running relay loses no windows, waits and outages. Times are those of the clock that
+// both processes share. No decision is made in this file.
+//
+// The snapshot types are stored as JSON under their field names, which therefore must not change.
+
+// Snapshot is what a policy has learned about all destinations.
+type Snapshot struct {
+	// Lanes has an element for each limiter.
+	Lanes []LimiterSnapshot
+	// Lat is the latency over all destinations.
+	Lat LatencySnapshot
+	// Tight is the share of calls that found no connection, by kind of destination.
 	Tight []float64
 
-	// What a process that has ended left of outages alone: who begins anew at a cold
-	// destination as at a sound one pushes it over.
-	Outages []OutageMemory
+	// Outages holds the outages alone, from a process that has ended. Without them the successor would call a
+	// recovering destination at the full rate and make it fail again.
+	Outages []OutageSnapshot
 }
 
-// mostRate is above what any destination takes, in calls a second. A memory that says more is damaged: what
-// is worked out of it must stay a number.
-const mostRate = 1e9
-
-// OutageMemory is an outage of one endpoint, the ramp after it, or failures that are not yet held to be an
-// outage. Moments are those of the policy's clock; GoodAt is 0 until a call that left after the last failure
-// came back.
-type OutageMemory struct {
-	Dest             int
-	Endpoint         Endpoint
-	Mute             bool
-	Suspected        bool // too few failures so far
-	FirstBad, BadAt  Time
+// maxRestoredRate is above the calls a second that any destination accepts. A snapshot with a higher rate
+// is damaged; the limit keeps the values that are computed from it finite.
+const maxRestoredRate = 1e9
+
+// OutageSnapshot describes the outage of one endpoint, the ramp after it, or failures that are too few for an
+// ejection. Times are those of the policy's clock.
+type OutageSnapshot struct {
+	Dest     int
+	Endpoint Endpoint
+	// Mute says that the last failure was a missing response or connection, not an error response.
+	Mute bool
+	// Suspected says that the failures are too few for an ejection.
+	Suspected bool
+	// FirstBad and BadAt are the first and the last failure of the run.
+	FirstBad, BadAt Time
+	// GoodAt is the first success of a call sent after the last failure, and GoodSent the send of that
+	// call; both are 0 until then.
 	GoodAt, GoodSent Time
 }
 
-// LaneMemory is that of one limit: a destination, or a route where they are apart.
-type LaneMemory struct {
-	Dest                int
-	Endpoints           []EndpointMemory
-	Bins                [][2]uint32 // history; the newest is of number At
-	At, Started         Time
-	Window              float64
+// LimiterSnapshot is the state of one limiter: of a destination, or of a route with separate limits.
+type LimiterSnapshot struct {
+	Dest      int
+	Endpoints []EndpointSnapshot
+	// Bins holds the requests and accepts of each bin of the history.
+	Bins [][2]uint32
+	// At is the number of the newest bin, and Started the start of the history.
+	At, Started Time
+	Window      float64
+	// HalvedAt is when a timeout last halved the window, and WaitUntil the end of a requested wait.
 	HalvedAt, WaitUntil Time
-	PauseUntil          Time
-	Nominal, Limit      float64
-	Boost               float64
-	Tokens              BucketMemory
-	FullRun             int
-	FullAt              Time
-	Lat                 LatencyMemory
+	// PauseUntil is the end of the backoff.
+	PauseUntil Time
+	// Nominal is the listed or estimated rate, and Limit the reported rate limit.
+	Nominal, Limit float64
+	// Boost is the factor on the send rate.
+	Boost  float64
+	Tokens BucketSnapshot
+	// FullRun counts the rejections since the last success.
+	FullRun int
+	// FullAt is the first of these rejections.
+	FullAt Time
+	Lat    LatencySnapshot
 }
 
-// EndpointMemory is that of one endpoint.
-type EndpointMemory struct {
-	Endpoint         Endpoint
-	RestUntil        Time
-	Score, Need      float64
-	Sick, Mute       bool
+// EndpointSnapshot is the state of one endpoint.
+type EndpointSnapshot struct {
+	Endpoint Endpoint
+	// RestUntil is the end of the backoff after a failure.
+	RestUntil Time
+	// Score is the failure score, and Need the tokens that the next call takes from Budget.
+	Score, Need float64
+	// Sick says that the endpoint is ejected. Mute is as in OutageSnapshot.
+	Sick, Mute bool
+	// FirstBad, BadAt, GoodAt and GoodSent are as in OutageSnapshot.
 	FirstBad, BadAt  Time
 	GoodAt, GoodSent Time
-	OkAt             Time
-	Budget           BucketMemory
-	Lat              LatencyMemory
+	// OkAt is the last success.
+	OkAt   Time
+	Budget BucketSnapshot
+	Lat    LatencySnapshot
 }
 
-// BucketMemory is a bucket's level at a moment.
-type BucketMemory struct {
+// BucketSnapshot is the level of a token bucket at a given time.
+type BucketSnapshot struct {
 	At     Time
 	Tokens float64
-	Used   bool
+	// Used is false for a bucket that has not been used yet.
+	Used bool
 }
 
-// LatencyMemory is a smoothed time.
-type LatencyMemory struct {
+// LatencySnapshot is a smoothed latency: its mean, its mean deviation and the number of samples.
+type LatencySnapshot struct {
 	Mean, Dev float64
 	N         int
 }
 
-func (b bucket) memory() BucketMemory   { return BucketMemory{b.at, b.tokens, b.used} }
-func (l latency) memory() LatencyMemory { return LatencyMemory{l.mean, l.dev, l.n} }
-
-func (m BucketMemory) bucket() bucket    { return bucket{m.At, m.Tokens, m.Used} }
-func (m LatencyMemory) latency() latency { return latency{m.Mean, m.Dev, m.N} }
-
-// Memory tells what is remembered.
-func (p *Policy) Memory() *Memory {
-	m := &Memory{Lat: p.lat.memory(), Tight: slices.Clone(p.tight)}
-	for _, id := range slices.Sorted(maps.Keys(p.dests)) {
-		d := p.dests[id]
-		for _, l := range d.lanes {
-			x := LaneMemory{Dest: d.id, Window: l.window, HalvedAt: l.halvedAt,
-				WaitUntil: l.waitUntil, PauseUntil: l.pauseUntil,
-				Nominal: l.nominal, Limit: l.limit, Boost: l.boost,
-				Tokens: l.tokens.memory(), FullRun: l.fullRun, FullAt: l.fullAt, Lat: l.lat.memory()}
-			if l.hist.hasStart {
-				x.Bins, x.At, x.Started = slices.Clone(l.hist.bins), l.hist.at, l.hist.started
+func (b tokenBucket) snapshot() BucketSnapshot {
+	return BucketSnapshot{b.updatedAt, b.tokens, b.initialized}
+}
+func (l latencyEstimate) snapshot() LatencySnapshot {
+	return LatencySnapshot{l.mean, l.deviation, l.samples}
+}
+
+func (s BucketSnapshot) tokenBucket() tokenBucket   { return tokenBucket{s.At, s.Tokens, s.Used} }
+func (s LatencySnapshot) estimate() latencyEstimate { return latencyEstimate{s.Mean, s.Dev, s.N} }
+
+// Snapshot returns what the policy has learned.
+func (p *Policy) Snapshot() *Snapshot {
+	snapshot := &Snapshot{Lat: p.latency.snapshot(), Tight: slices.Clone(p.noConnectionShare)}
+	for _, id := range slices.Sorted(maps.Keys(p.destinations)) {
+		d := p.destinations[id]
+		for _, l := range d.limiters {
+			saved := LimiterSnapshot{Dest: d.id, Window: l.window, HalvedAt: l.halvedAt,
+				WaitUntil: l.retryAfterUntil, PauseUntil: l.backoffUntil,
+				Nominal: l.nominalRate, Limit: l.reportedLimit, Boost: l.rateFactor,
+				Tokens: l.bucket.snapshot(), FullRun: l.rejectionRun, FullAt: l.rejectionRunStart,
+				Lat: l.latency.snapshot()}
+			if l.history.hasStart {
+				saved.Bins, saved.At, saved.Started =
+					slices.Clone(l.history.bins), l.history.newestBin, l.history.startedAt
 			}
-			for _, ep := range l.eps {
-				x.Endpoints = append(x.Endpoints, EndpointMemory{Endpoint: ep.id,
-					RestUntil: ep.restUntil, Score: ep.score, Need: ep.need, Sick: ep.sick, Mute: ep.mute,
-					FirstBad: ep.firstBad, BadAt: ep.badAt, GoodAt: ep.goodAt, GoodSent: ep.goodSent,
-					OkAt: ep.okAt, Budget: ep.budget.memory(), Lat: ep.lat.memory()})
+			for _, ep := range l.endpoints {
+				saved.Endpoints = append(saved.Endpoints, EndpointSnapshot{Endpoint: ep.id,
+					RestUntil: ep.backoffUntil, Score: ep.failureScore, Need: ep.nextCallCost,
+					Sick: ep.ejected, Mute: ep.silent,
+					FirstBad: ep.firstFailureAt, BadAt: ep.lastFailureAt,
+					GoodAt: ep.recoveredAt, GoodSent: ep.recoveryCallSentAt,
+					OkAt: ep.lastSuccessAt, Budget: ep.budget.snapshot(), Lat: ep.latency.snapshot()})
 			}
-			m.Lanes = append(m.Lanes, x)
+			snapshot.Lanes = append(snapshot.Lanes, saved)
 		}
 	}
-	return m
+	return snapshot
 }
 
-// Outage tells what is known of an endpoint's outage; false where there is none.
-func (p *Policy) Outage(id Endpoint) (OutageMemory, bool) {
-	ep := p.eps[id]
-	if ep == nil || !ep.sick && !ep.suspected() || ep.state == Gone {
-		return OutageMemory{}, false
+// Outage returns the outage of an endpoint, or false if there is none.
+func (p *Policy) Outage(id Endpoint) (OutageSnapshot, bool) {
+	ep := p.endpoints[id]
+	if ep == nil || !ep.ejected && !ep.suspected() || ep.state == Removed {
+		return OutageSnapshot{}, false
 	}
-	return OutageMemory{Dest: ep.lane.dest.id, Endpoint: id, Mute: ep.mute, Suspected: !ep.sick,
-		FirstBad: ep.firstBad, BadAt: ep.badAt, GoodAt: ep.goodAt, GoodSent: ep.goodSent}, true
+	return OutageSnapshot{Dest: ep.limiter.dest.id, Endpoint: id, Mute: ep.silent, Suspected: !ep.ejected,
+		FirstBad: ep.firstFailureAt, BadAt: ep.lastFailureAt,
+		GoodAt: ep.recoveredAt, GoodSent: ep.recoveryCallSentAt}, true
 }
 
-// resumeOutage goes on with an outage or a ramp that an earlier process of this relay saw. Nothing is saved
-// up in its budget: the call that a process has next to make there is drawn anew, with the same mean.
-// Failures that were too few for a verdict are held to be an outage: this relay was told, and has no calls
-// left to find out by. They count for as long as anything learned of a quiet destination. Harm: after a
-// restart, a sound endpoint whose last call failed is asked less for the time of a ramp.
-func (p *Policy) resumeOutage(o *OutageMemory) {
+// restoreOutage restores an outage or a ramp that a predecessor process of this relay observed. The
+// slow-start budget starts empty, and the cost of the next call is drawn again with the same mean. Failures
+// that were too few for an ejection count as an outage: the relay has seen them, and has no further calls
+// to confirm them by. They count for as long as other observations of an unused destination. The cost is
+// that after a restart a healthy endpoint whose last call failed gets fewer calls for the time of a ramp.
+func (p *Policy) restoreOutage(outage *OutageSnapshot) {
 	if p.directory != nil {
-		p.used(o.Dest)
+		p.destinationInUse(outage.Dest)
 	}
-	ep := p.eps[o.Endpoint]
-	if ep == nil || ep.sick {
+	ep := p.endpoints[outage.Endpoint]
+	if ep == nil || ep.ejected {
 		return
 	}
-	if o.Suspected {
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
-		if p.now-o.BadAt >= p.lapse {
+	if outage.Suspected {
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
+		if p.now-outage.BadAt >= p.idleRetention {
 			return
 		}
 	}
-	ep.sick, ep.mute, ep.score = true, o.Mute, 1-scoreKeep
-	ep.firstBad, ep.badAt = min(o.FirstBad, p.now), min(o.BadAt, p.now)
-	ep.goodAt, ep.goodSent = min(o.GoodAt, p.now), min(o.GoodSent, p.now)
-	ep.budget, ep.need = bucket{at: p.now}, p.rng.ExpFloat64()
-	p.touch(ep.lane.dest)
+	ep.ejected, ep.silent, ep.failureScore = true, outage.Mute, 1-scoreDecay
+	ep.firstFailureAt, ep.lastFailureAt = min(outage.FirstBad, p.now), min(outage.BadAt, p.now)
+	ep.recoveredAt, ep.recoveryCallSentAt = min(outage.GoodAt, p.now), min(outage.GoodSent, p.now)
+	ep.budget, ep.nextCallCost = tokenBucket{updatedAt: p.now}, p.rng.ExpFloat64()
+	p.markPending(ep.limiter.dest)
 }
 
-// remember takes up what another policy remembered of endpoints that the list
-// has named here too. What is not listed any more is nobody's.
-func (p *Policy) remember(m *Memory) {
-	for i := range m.Outages {
-		p.resumeOutage(&m.Outages[i])
+// restore applies the snapshot of another process to the endpoints that are listed here too. Endpoints that
+// are no longer listed are ignored.
+func (p *Policy) restore(snapshot *Snapshot) {
+	for i := range snapshot.Outages {
+		p.restoreOutage(&snapshot.Outages[i])
 	}
-	if len(m.Lanes) == 0 && m.Lat.N == 0 {
+	if len(snapshot.Lanes) == 0 && snapshot.Lat.N == 0 {
 		return
 	}
-	p.lat = m.Lat.latency()
-	copy(p.tight, m.Tight)
-	for i := range m.Lanes {
-		x := &m.Lanes[i]
-		if p.directory != nil && len(x.Endpoints) > 0 {
-			p.use(p.dest(x.Dest))
+	p.latency = snapshot.Lat.estimate()
+	copy(p.noConnectionShare, snapshot.Tight)
+	for i := range snapshot.Lanes {
+		saved := &snapshot.Lanes[i]
+		if p.directory != nil && len(saved.Endpoints) > 0 {
+			p.recordUse(p.destination(saved.Dest))
 		}
-		for j := range x.Endpoints {
-			y := &x.Endpoints[j]
-			ep := p.eps[y.Endpoint]
+		for j := range saved.Endpoints {
+			savedEP := &saved.Endpoints[j]
+			ep := p.endpoints[savedEP.Endpoint]
 			if ep == nil {
 				continue
 			}
-			ep.restUntil, ep.score, ep.need, ep.sick, ep.mute = y.RestUntil, y.Score, y.Need, y.Sick, y.Mute
-			ep.firstBad, ep.badAt, ep.okAt = y.FirstBad, y.BadAt, y.OkAt
-			ep.goodAt, ep.goodSent = y.GoodAt, y.GoodSent
-			ep.budget, ep.lat = y.Budget.bucket(), y.Lat.latency()
-			l := ep.lane
-			l.window, l.halvedAt, l.waitUntil, l.pauseUntil = x.Window, x.HalvedAt, x.WaitUntil, x.PauseUntil
-			l.limit, l.boost = min(x.Limit, mostRate), x.Boost
-			l.tokens, l.lat = x.Tokens.bucket(), x.Lat.latency()
-			l.fullRun, l.fullAt = x.FullRun, x.FullAt
-			if l.nominal == 0 { // the list's word is newer
-				l.nominal = min(x.Nominal, mostRate)
+			ep.backoffUntil, ep.failureScore, ep.nextCallCost, ep.ejected, ep.silent =
+				savedEP.RestUntil, savedEP.Score, savedEP.Need, savedEP.Sick, savedEP.Mute
+			ep.firstFailureAt, ep.lastFailureAt, ep.lastSuccessAt =
+				savedEP.FirstBad, savedEP.BadAt, savedEP.OkAt
+			ep.recoveredAt, ep.recoveryCallSentAt = savedEP.GoodAt, savedEP.GoodSent
+			ep.budget, ep.latency = savedEP.Budget.tokenBucket(), savedEP.Lat.estimate()
+			l := ep.limiter
+			l.window, l.halvedAt, l.retryAfterUntil, l.backoffUntil =
+				saved.Window, saved.HalvedAt, saved.WaitUntil, saved.PauseUntil
+			l.reportedLimit, l.rateFactor = min(saved.Limit, maxRestoredRate), saved.Boost
+			l.bucket, l.latency = saved.Tokens.tokenBucket(), saved.Lat.estimate()
+			l.rejectionRun, l.rejectionRunStart = saved.FullRun, saved.FullAt
+			if l.nominalRate == 0 { // a listed rate is newer
+				l.nominalRate = min(saved.Nominal, maxRestoredRate)
 			}
-			if n := len(x.Bins); Time(n) == l.hist.size || n == 0 && x.At > 0 {
-				l.hist.bins, l.hist.at = slices.Clone(x.Bins), x.At
-				l.hist.started, l.hist.hasStart = x.Started, true
-				l.hist.sum = [2]float64{}
-				for _, b := range x.Bins {
-					l.hist.sum[0] += float64(b[0])
-					l.hist.sum[1] += float64(b[1])
+			if bins := len(saved.Bins); Time(bins) == l.history.binCount || bins == 0 && saved.At > 0 {
+				l.history.bins, l.history.newestBin = slices.Clone(saved.Bins), saved.At
+				l.history.startedAt, l.history.hasStart = saved.Started, true
+				l.history.sums = [2]float64{}
+				for _, bin := range saved.Bins {
+					l.history.sums[0] += float64(bin[0])
+					l.history.sums[1] += float64(bin[1])
 				}
 			}
-			p.touch(l.dest)
+			p.markPending(l.dest)
 		}
 	}
 }
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -1,162 +1,171 @@
 package decide
 
-// Outcomes: what the end of an attempt changes for its message, call, endpoint and lane.
+// Outcomes: what the end of an attempt changes for its message, call, endpoint and limiter.
 
-// outcome books the end of an attempt, for the message, its call, its endpoint and its lane.
-func (p *Policy) outcome(e *Event) {
-	m := p.msgs[e.Message]
-	if m == nil || m.call == nil || e.Attempt != m.tries-1 || e.Outcome >= numOutcome {
+// handleOutcome handles the end of an attempt, for the message, its call, its endpoint and its limiter.
+func (p *Policy) handleOutcome(e *Event) {
+	m := p.messages[e.Message]
+	if m == nil || m.call == nil || e.Attempt != m.attempts-1 || e.Outcome >= outcomeCount {
 		return
 	}
 	c := m.call
 	m.call = nil
-	if !m.over {
-		p.aloft--
+	if !m.ended {
+		p.messagesInFlight--
 	}
-	c.left--
-	if c.left == 0 {
-		p.calls--
-		c.ep.flying--
-		if !c.late {
-			c.ep.lane.flying--
+	c.remaining--
+	if c.remaining == 0 {
+		p.callsInFlight--
+		c.endpoint.inFlight--
+		if !c.overdue {
+			c.endpoint.limiter.inFlight--
 		}
-		c.ep.lane.dest.flying--
-		if c.ep.idleAt = p.now; c.ep.flying == 0 && p.set.KeepAlive > 0 && !c.ep.watched {
-			p.giveBack(c.ep)
+		c.endpoint.limiter.dest.inFlight--
+		if c.endpoint.idleSince = p.now; c.endpoint.inFlight == 0 &&
+			p.settings.KeepAlive > 0 && !c.endpoint.idleCheckPending {
+			p.closeIdle(c.endpoint)
 		}
 	}
-	p.use(c.ep.lane.dest)
-	p.touch(c.ep.lane.dest)
-	told := c.late && (e.Outcome == TimedOut || e.Outcome == Cancelled)
-	if !c.noted && !told && e.Outcome != NotSent { // the messages of a call share one fate, and count once
-		c.noted = true
+	p.recordUse(c.endpoint.limiter.dest)
+	p.markPending(c.endpoint.limiter.dest)
+	alreadyCounted := c.overdue && (e.Outcome == TimedOut || e.Outcome == Cancelled)
+	// The messages of a call share one result, which counts once.
+	if !c.observed && !alreadyCounted && e.Outcome != NotSent {
+		c.observed = true
 		p.observe(c, e)
 	}
-	if e.Wait > 0 { // an answer that took some of the messages may tell one too
-		c.ep.lane.waitUntil = max(c.ep.lane.waitUntil, p.now+e.Wait)
-		for _, x := range c.ep.lane.eps { // what is saved up while it is closed would go at once
-			x.budget.tokens, x.budget.at = 0, c.ep.lane.waitUntil
+	if e.RetryAfter > 0 { // a response that accepted some of the messages may carry one too
+		c.endpoint.limiter.retryAfterUntil = max(c.endpoint.limiter.retryAfterUntil, p.now+e.RetryAfter)
+		// Tokens saved during the wait would be spent all at once after it.
+		for _, sibling := range c.endpoint.limiter.endpoints {
+			sibling.budget.tokens, sibling.budget.updatedAt = 0, c.endpoint.limiter.retryAfterUntil
 		}
 	}
-	doubtful := e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled
-	if l := p.lines[m.key]; l != nil && m.class.InOrder && doubtful {
-		l.rest = max(l.rest, p.now+p.set.KeyRest)
+	noResponse := e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled
+	if key := p.orderedKeys[m.key]; key != nil && m.class.InOrder && noResponse {
+		key.pausedUntil = max(key.pausedUntil, p.now+p.settings.OrderedKeyPause)
 	}
-	if !e.Outcome.NeverRan() && e.Outcome != Delivered && m.doubtAt == 0 {
-		p.doubt(m, c.sent, c.ep.zone)
+	if !e.Outcome.NeverRan() && e.Outcome != Delivered && m.mayHaveRunAt == 0 {
+		p.markMayHaveRun(m, c.sentAt, c.endpoint.zone)
 	}
-	m.failedAt = c.ep
+	m.failedEndpoint = c.endpoint
 	switch {
-	case m.over:
-		p.forget(m)
-	case e.Outcome == Delivered || e.Settled:
-		p.finish(m)
+	case m.ended:
+		p.forgetMessage(m)
+	case e.Outcome == Delivered || e.Final:
+		p.finishMessage(m)
 	default:
 		m.dest.queue = append(m.dest.queue, m)
-		p.later.add(p.now, func() { p.look(m) })
+		p.timers.add(p.now, func() { p.endIfDue(m) })
 	}
 }
 
-// observe learns from how a call went.
+// observe updates the state of the endpoint and the limiter from the result of a call.
 func (p *Policy) observe(c *call, e *Event) {
-	ep, l := c.ep, c.ep.lane
+	ep, l := c.endpoint, c.endpoint.limiter
 	if e.Load.Limit > 0 {
-		l.limit = e.Load.Limit
-		// What all relays have saved up together is more than is left: each may keep that share of its part.
-		l.tokens.tokens = min(l.tokens.tokens, 1+e.Load.Left*(p.depth(l)-1))
+		l.reportedLimit = e.Load.Limit
+		// The full buckets of all relays together exceed what is left of the limit: each keeps that share
+		// of its burst.
+		l.bucket.tokens = min(l.bucket.tokens, 1+e.Load.Remaining*(p.burst(l)-1))
 	}
-	if t := &p.tight[l.dest.kindAt]; e.Crowded && e.Outcome == Full {
-		// Told outright, it says nothing of limit or health: the next call may find a place. What all keep
-		// idle there is given back meanwhile (keep).
-		*t += (1 - *t) / tightSpan
-		ep.conns = ep.flying
-		l.pauseUntil = max(l.pauseUntil, p.now+Time((0.5+p.rng.Float64())*float64(p.usual(l.dest))))
+	if share := &p.noConnectionShare[l.dest.kindIndex]; e.NoFreeConnection && e.Outcome == Rejected {
+		// A reported lack of connections says nothing about the rate limit or the health of the endpoint: the
+		// next call may get one. Meanwhile the relays close idle connections sooner (see idleTimeout).
+		*share += (1 - *share) / noConnectionSampleCalls
+		ep.connections = ep.inFlight
+		l.backoffUntil = max(l.backoffUntil,
+			p.now+Time((0.5+p.rng.Float64())*float64(p.usualLatency(l.dest))))
 		return
-	} else if e.Outcome == NoConnect {
-		ep.missed++
+	} else if e.Outcome == ConnectFailed {
+		ep.failedConnects++
 	} else {
-		*t -= *t / tightSpan
-		// Only where the endpoint turns out to live were its connections what was missing.
-		for ; ep.missed > 0 && e.Outcome == Delivered; ep.missed-- {
-			if !ep.sick {
-				*t += (1 - *t) / tightSpan
+		*share -= *share / noConnectionSampleCalls
+		// Failed connects count as a lack of connections only once the endpoint proves to be up.
+		for ; ep.failedConnects > 0 && e.Outcome == Delivered; ep.failedConnects-- {
+			if !ep.ejected {
+				*share += (1 - *share) / noConnectionSampleCalls
 			}
 		}
 	}
 	if p.sparse(l) {
-		if e.Outcome == Full {
-			p.strain += (1 - p.strain) / strainCalls
+		if e.Outcome == Rejected {
+			p.sparseRejectShare += (1 - p.sparseRejectShare) / sparseSampleCalls
 		} else if e.Outcome == Delivered {
-			p.strain -= p.strain / strainCalls
+			p.sparseRejectShare -= p.sparseRejectShare / sparseSampleCalls
 		}
 	}
 	switch e.Outcome {
 	case Delivered:
-		l.hist.accept(p.now)
-		l.window = min(l.window+1, float64(p.set.Slots))
-		l.fullRun = 0
-		l.lat.add(float64(e.Took))
-		ep.lat.add(float64(e.Took))
-		p.lat.add(float64(e.Took))
-		if l.bound && (e.Load.Limit == 0 || e.Load.Left > leftRise) {
-			l.boost = min(l.boost*boostRise, float64(p.set.Relays))
+		l.history.addAccept(p.now)
+		l.window = min(l.window+1, float64(p.settings.Slots))
+		l.rejectionRun = 0
+		l.latency.add(float64(e.Duration))
+		ep.latency.add(float64(e.Duration))
+		p.latency.add(float64(e.Duration))
+		if l.rateLimited && (e.Load.Limit == 0 || e.Load.Remaining > rateIncreaseMinRemaining) {
+			l.rateFactor = min(l.rateFactor*rateIncreaseFactor, float64(p.settings.Relays))
 		}
-		p.healthy(ep, c.sent)
-	case Full:
+		p.recordSuccess(ep, c.sentAt)
+	case Rejected:
 		l.window = max(l.window/2, 1)
-		l.boost = max(l.boost*p.fall, boostLeast)
-		l.tokens.tokens = min(l.tokens.tokens, max(p.part(l)-1, 0)) // that room is gone
-		if l.fullRun++; l.fullRun == 1 {
-			l.fullAt = p.now
+		l.rateFactor = max(l.rateFactor*p.rejectionFactor, minRateFactor)
+		l.bucket.tokens = min(l.bucket.tokens, max(p.evenShare(l)-1, 0)) // that capacity is used up
+		if l.rejectionRun++; l.rejectionRun == 1 {
+			l.rejectionRunStart = p.now
 		}
-		if l.limit == 0 && l.nominal == 0 {
-			l.nominal = max(l.hist.acceptRate(p.now), 1) * float64(p.set.Relays)
+		if l.reportedLimit == 0 && l.nominalRate == 0 {
+			l.nominalRate = max(l.history.acceptRate(p.now), 1) * float64(p.settings.Relays)
 		}
 		rate, _ := p.budgetRate(ep)
-		age := float64(p.now-l.fullAt) / float64(second)
-		turn := p.turn(l, c.msgs[0])
-		gap := float64(second) * max(turn, 1/p.depth(l), min(1/rate, p.growth(l)*age))
-		l.pauseUntil = p.now + Time(gap*(0.5+p.rng.Float64()))
-		if p.sparse(l) { // the draw loads all routes alike: none is asked for what this one had no room for
-			for _, x := range l.dest.lanes {
+		runSeconds := float64(p.now-l.rejectionRunStart) / float64(second)
+		round := p.roundSeconds(l, c.messages[0])
+		backoff := float64(second) * max(round, 1/p.burst(l), min(1/rate, p.backoffRatio(l)*runSeconds))
+		l.backoffUntil = p.now + Time(backoff*(0.5+p.rng.Float64()))
+		// The draw loads all routes alike: the others must not get the calls that this one rejected.
+		if p.sparse(l) {
+			for _, x := range l.dest.limiters {
 				if x != l {
-					rest := p.turn(x, c.msgs[0]) * p.rng.Float64() / 2
-					x.pauseUntil = max(x.pauseUntil, p.now+Time(rest*float64(second)))
+					backoff := p.roundSeconds(x, c.messages[0]) * p.rng.Float64() / 2
+					x.backoffUntil = max(x.backoffUntil, p.now+Time(backoff*float64(second)))
 				}
 			}
 		}
-		if e.Wait > 0 { // all who were told wake together: each comes at a moment of its own
-			l.pauseUntil = max(l.pauseUntil, p.now+e.Wait+Time(turn*float64(second)*p.rng.Float64()))
+		// All relays that were asked to wait resume at the same time: spread their calls.
+		if e.RetryAfter > 0 {
+			l.backoffUntil = max(l.backoffUntil,
+				p.now+e.RetryAfter+Time(round*float64(second)*p.rng.Float64()))
 		}
-		if e.Wait >= p.set.FallTime || l.fullRun >= fullRunSick && p.now-l.fullAt >= p.shutRun(l) {
-			ep.score = 1 // shut, however seldom it was asked
-			p.failed(ep, c.sent, false)
+		if e.RetryAfter >= p.settings.OverloadTime ||
+			l.rejectionRun >= unavailableRejections && p.now-l.rejectionRunStart >= p.unavailableAfter(l) {
+			ep.failureScore = 1 // unavailable, however few calls it has had
+			p.recordFailure(ep, c.sentAt, false)
 		}
-	case Cancelled: // it tells something only where nothing sent since has come back
-		if ep.okAt <= c.sent {
-			p.failed(ep, c.sent, true)
+	case Cancelled: // a failure only if no call has succeeded since it was sent
+		if ep.lastSuccessAt <= c.sentAt {
+			p.recordFailure(ep, c.sentAt, true)
 		}
 	case TimedOut:
-		if c.sent >= l.halvedAt { // calls that were out together tell of one moment: one halving for all
+		if c.sentAt >= l.halvedAt { // calls that were in flight together halve the window once
 			l.window, l.halvedAt = max(l.window/2, 1), p.now
 		}
-		// Where later calls were answered and most are, it was lost alone: the endpoint lives.
-		if ep.okAt <= c.sent || p.chance(l) > 0 {
-			p.failed(ep, c.sent, true)
+		// If a call has succeeded since and most calls succeed, only this one was lost: the endpoint is up.
+		if ep.lastSuccessAt <= c.sentAt || p.dropProbability(l) > 0 {
+			p.recordFailure(ep, c.sentAt, true)
 		}
-	case NoConnect:
-		ep.conns = ep.flying
-		p.failed(ep, c.sent, true)
-		// A refused connection fails at once: with no rest one message would spend all its attempts on an
-		// outage before the verdict is in.
-		ep.restUntil = max(ep.restUntil, p.now+p.usual(l.dest))
+	case ConnectFailed:
+		ep.connections = ep.inFlight
+		p.recordFailure(ep, c.sentAt, true)
+		// A refused connection fails at once: without a backoff one message would spend all its attempts on
+		// an outage before the endpoint is ejected.
+		ep.backoffUntil = max(ep.backoffUntil, p.now+p.usualLatency(l.dest))
 	case Errored, Reset:
-		p.failed(ep, c.sent, false)
+		p.recordFailure(ep, c.sentAt, false)
 	}
 }
 
-// turn is how many seconds it takes until each relay has sent one call at the limit, and at most so many that
-// a message has another chance.
-func (p *Policy) turn(l *lane, m *message) float64 {
-	return min(1/p.part(l), float64(m.class.Deadline)/2/float64(second))
+// roundSeconds returns the seconds in which each relay sends one call at the capacity of the limiter, but
+// no more than leave the message time for another attempt.
+func (p *Policy) roundSeconds(l *limiter, m *message) float64 {
+	return min(1/p.evenShare(l), float64(m.class.Deadline)/2/float64(second))
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -1,113 +1,136 @@
 package decide
 
-// Outlier detection: failure scores, outages and the rests before a verdict.
+// Outlier detection: failure scores, ejections, and the backoff before an ejection.
 
 const (
-	scoreKeep   = 0.7 // weight of the past in an endpoint's failure score
-	scoreSick   = 0.6 // most calls fail: three in a row from a clean start pass it
-	scoreFew    = 0.5 // two in a row do
-	thinPart    = 0.5 // calls of an even part in a fall time under which a relay sees too little
-	fewPart     = 3.0 // the same under which three failures in a row take longer than that: two have to do
-	restGrowth  = 3.0 // a rest after a failure, to the time since the first of the run, with many relays
-	fullRunSick = 2   // refusals in a row, far enough apart, with no success between: shut, not busy
-	shutTurns   = 2.0 // turns of this relay at the limit that such a run must outlast
-	sharerPart  = 2.0 // relays thought to want a trial, to the messages that an outage has kept waiting
+	// scoreDecay is the weight of the past in the failure score of an endpoint.
+	scoreDecay = 0.7
+	// ejectionScore is the failure score at which an endpoint is ejected, since most calls fail. From 0 it
+	// takes three failures in a row.
+	ejectionScore = 0.6
+	// ejectionScoreFewCalls is the same for relays that see few calls; it takes two failures in a row.
+	ejectionScoreFewCalls = 0.5
+	// singleFailureMaxCalls is the number of calls in an overload time, as an even share, below which a
+	// single failure ejects.
+	singleFailureMaxCalls = 0.5
+	// fewCallsMax is the number below which three failures in a row take longer than an overload time, so
+	// that two have to be enough.
+	fewCallsMax = 3.0
+	// backoffGrowth is, with many relays, the ratio of a backoff to the time since the first failure of the
+	// run.
+	backoffGrowth = 3.0
+	// unavailableRejections is how many rejections without a success between them, far enough apart, mean
+	// that an endpoint is unavailable rather than at its limit.
+	unavailableRejections = 2
+	// unavailableRounds is how many rounds of calls at the limit such a run must outlast.
+	unavailableRounds = 2.0
+	// relaysPerMessage is the number of relays assumed to call a destination, for each message that has
+	// arrived for it since its outage began.
+	relaysPerMessage = 2.0
 )
 
-// verdict is the failure score at which an endpoint is held to be out. Where this relay's part is so small
-// that a run of failures would outlast the time in which a cold destination falls, the first has to do, or,
-// where it sees little of what all send, two in a row: by the third all relays would have come back to it as
-// to a sound one. Harm: one that lost two answers in a row is asked less for the time of a ramp.
-func (p *Policy) verdict(l *lane) float64 {
+// ejectionThreshold returns the failure score at which an endpoint is ejected. If the share of this relay
+// is so small that a run of failures would outlast the overload time of a recovering destination, the first
+// failure is enough. If it sees few of all calls, two in a row are enough: by the third all relays would
+// call the destination again as a healthy one. The cost is that an endpoint which lost two responses in a
+// row gets fewer calls for the time of a ramp.
+func (p *Policy) ejectionThreshold(l *limiter) float64 {
 	switch {
-	case p.partInFall(l) < thinPart:
+	case p.callsInOverloadTime(l) < singleFailureMaxCalls:
 		return 0
-	case p.seesLittle(l):
-		return scoreFew
+	case p.seesFewCalls(l):
+		return ejectionScoreFewCalls
 	}
-	return scoreSick
+	return ejectionScore
 }
 
-// partInFall is how many calls this relay's part is in the time in which a cold destination falls.
-func (p *Policy) partInFall(l *lane) float64 {
-	return p.part(l) * float64(p.set.FallTime) / float64(second)
+// callsInOverloadTime returns the calls that an even share of the capacity amounts to in the overload time.
+func (p *Policy) callsInOverloadTime(l *limiter) float64 {
+	return p.evenShare(l) * float64(p.settings.OverloadTime) / float64(second)
 }
 
-// seesLittle: this relay makes too few of the calls, and too seldom, to learn soon what most have learned.
-func (p *Policy) seesLittle(l *lane) bool {
-	return p.partInFall(l) < fewPart && float64(p.set.Relays)*sampleLeast > 1
+// seesFewCalls reports whether this relay makes so few of all calls, and so rarely, that it learns of an
+// outage later than most others.
+func (p *Policy) seesFewCalls(l *limiter) bool {
+	return p.callsInOverloadTime(l) < fewCallsMax && float64(p.settings.Relays)*minCallShare > 1
 }
 
-// growth is a rest to the age of a run of failures: less where few relays send there much each.
-func (p *Policy) growth(l *lane) float64 {
-	whole := sharerPart * p.capacity(l) * float64(p.set.FallTime) / float64(second)
-	return restGrowth * min(1, float64(p.set.Relays)/max(whole, 1))
+// backoffRatio returns the ratio of a backoff to the age of a run of failures. It is smaller where few
+// relays send many calls each.
+func (p *Policy) backoffRatio(l *limiter) float64 {
+	expectedRelays := relaysPerMessage * p.capacity(l) * float64(p.settings.OverloadTime) / float64(second)
+	return backoffGrowth * min(1, float64(p.settings.Relays)/max(expectedRelays, 1))
 }
 
-// shutRun is how long refusals must go on, with no success between, until a destination is held to be shut
-// rather than at its limit: half a fall time, and where the limit is low as long as a few turns of this relay
-// take, since others may well have used up all the room until then.
-func (p *Policy) shutRun(l *lane) Time {
-	turns := shutTurns * float64(p.set.Relays) / p.capacity(l)
-	return max(p.set.FallTime/2, Time(turns*float64(second)))
+// unavailableAfter returns how long rejections without a success must go on until a destination counts as
+// unavailable rather than at its limit: half an overload time, or a few rounds of calls where the limit is
+// low, since until then the other relays may have used all of its capacity.
+func (p *Policy) unavailableAfter(l *limiter) Time {
+	seconds := unavailableRounds * float64(p.settings.Relays) / p.capacity(l)
+	return max(p.settings.OverloadTime/2, Time(seconds*float64(second)))
 }
 
-// healthy books a success. In an outage it starts the ramp, if the call left after the last failure.
-func (p *Policy) healthy(ep *endpoint, sent Time) {
+// recordSuccess records a success. In an outage, the success of a call that was sent after the last failure
+// starts the ramp.
+func (p *Policy) recordSuccess(ep *endpoint, sentAt Time) {
 	suspected := ep.suspected()
-	ep.score *= scoreKeep
-	ep.okAt = p.now
+	ep.failureScore *= scoreDecay
+	ep.lastSuccessAt = p.now
 	if suspected && !ep.suspected() {
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 	}
-	if ep.sick && ep.goodAt == 0 && sent >= ep.badAt {
-		ep.goodAt, ep.goodSent = p.now, sent
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
-		p.logf("dest %d: answers again, ramp", ep.lane.dest.id)
+	if ep.ejected && ep.recoveredAt == 0 && sentAt >= ep.lastFailureAt {
+		ep.recoveredAt, ep.recoveryCallSentAt = p.now, sentAt
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
+		p.logf("dest %d: responds again, ramp started", ep.limiter.dest.id)
 	}
 }
 
-// failed books a failure. Two close together are an outage, for siblings too that have shown nothing since.
-func (p *Policy) failed(ep *endpoint, sent Time, mute bool) {
-	if ep.goodAt > 0 && sent < ep.goodSent {
-		return // a call from before the return tells nothing of it
+// recordFailure records a failure and ejects the endpoint at the ejection threshold, together with the
+// others of its limiter that have had no success since the run of failures began.
+func (p *Policy) recordFailure(ep *endpoint, sentAt Time, silent bool) {
+	if ep.recoveredAt > 0 && sentAt < ep.recoveryCallSentAt {
+		return // a call sent before the recovery says nothing about it
 	}
-	if ep.badAt <= ep.okAt {
-		ep.firstBad = p.now
+	if ep.lastFailureAt <= ep.lastSuccessAt {
+		ep.firstFailureAt = p.now
 	}
-	ep.score = ep.score*scoreKeep + 1 - scoreKeep
-	if ep.goodAt == 0 || ep.score >= scoreSick { // where most calls pass, a failure does not undo the ramp
-		if ep.goodAt > 0 && ep.sick {
-			p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+	ep.failureScore = ep.failureScore*scoreDecay + 1 - scoreDecay
+	// A failure does not undo the ramp while most calls succeed.
+	if ep.recoveredAt == 0 || ep.failureScore >= ejectionScore {
+		if ep.recoveredAt > 0 && ep.ejected {
+			p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 		}
-		ep.badAt, ep.goodAt, ep.mute = p.now, 0, mute
+		ep.lastFailureAt, ep.recoveredAt, ep.silent = p.now, 0, silent
 	}
-	if ep.sick || ep.score < p.verdict(ep.lane) {
+	if ep.ejected || ep.failureScore < p.ejectionThreshold(ep.limiter) {
 		if ep.suspected() {
-			p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+			p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 		}
-		ep.restUntil = p.now + Time(p.growth(ep.lane)*float64(p.now-ep.firstBad)) // until the verdict is in
+		// Back off until enough failures are known for an ejection.
+		ep.backoffUntil = p.now + Time(p.backoffRatio(ep.limiter)*float64(p.now-ep.firstFailureAt))
 		return
 	}
-	for _, x := range ep.lane.eps {
-		if x == ep || !x.sick && x.okAt < ep.firstBad {
-			x.sick, x.mute, x.goodAt, x.badAt = true, mute, 0, p.now
-			x.budget, x.firstBad = bucket{}, ep.firstBad
-			x.budget.at, x.need = p.now, p.rng.ExpFloat64()
-			p.act(Action{Kind: ActOutage, Endpoint: x.id})
+	for _, x := range ep.limiter.endpoints {
+		if x == ep || !x.ejected && x.lastSuccessAt < ep.firstFailureAt {
+			x.ejected, x.silent, x.recoveredAt, x.lastFailureAt = true, silent, 0, p.now
+			x.budget, x.firstFailureAt = tokenBucket{}, ep.firstFailureAt
+			x.budget.updatedAt, x.nextCallCost = p.now, p.rng.ExpFloat64()
+			p.emit(Action{Kind: ActOutage, Endpoint: x.id})
 		}
 	}
-	p.logf("dest %d: seen failing, trial calls", ep.lane.dest.id)
+	p.logf("dest %d: failing, endpoint ejected, trial calls only", ep.limiter.dest.id)
 }
 
-// mayCall: every guard on an endpoint, whoever asks.
-func (p *Policy) mayCall(ep *endpoint) bool {
-	if ep.state != Ready || ep.lane.waitUntil > p.now || !ep.sick && ep.restUntil > p.now {
+// mayCallEndpoint reports whether an endpoint may be called now. It holds every guard that is independent
+// of the message.
+func (p *Policy) mayCallEndpoint(ep *endpoint) bool {
+	if ep.state != Ready || ep.limiter.retryAfterUntil > p.now || !ep.ejected && ep.backoffUntil > p.now {
 		return false
 	}
-	rate, depth := p.budgetRate(ep)
-	if !ep.sick || ep.goodAt == 0 && ep.mute && ep.flying > 0 {
-		return !ep.sick // what does not answer would pin a slot for each trial
+	rate, burst := p.budgetRate(ep)
+	if !ep.ejected || ep.recoveredAt == 0 && ep.silent && ep.inFlight > 0 {
+		return !ep.ejected // without responses each trial call would occupy a slot
 	}
-	return ep.budget.level(p.now, rate, max(depth, ep.need)) >= ep.need
+	return ep.budget.refill(p.now, rate, max(burst, ep.nextCallCost)) >= ep.nextCallCost
 }
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -6,178 +6,183 @@
 	"slices"
 )
 
-// The queues: admission, tenants' shares, what waiting costs, and what is handed back where room runs out.
+// Queues: admission, tenant quotas, the cost of waiting, and load shedding.
 
-const heldReserve = 16 // one part in so many of the room is kept free
+// heldReserveDivisor is the divisor of Settings.MaxHeld that gives the number of places kept free.
+const heldReserveDivisor = 16
 
-// admit takes a message into the queue of its destination.
+// admit accepts a message into the queue of its destination.
 func (p *Policy) admit(e *Event) {
-	if p.msgs[e.Message] != nil {
+	if p.messages[e.Message] != nil {
 		return
 	}
-	c, most := e.Rules, e.Most
-	if c == nil {
-		if e.Class < 0 || e.Class >= len(p.set.Classes) {
-			p.act(Action{Kind: ActRefuse, Message: e.Message}) // nothing is known of it, and nothing has run
+	class, maxAttempts := e.OriginalClass, e.OriginalMaxAttempts
+	if class == nil {
+		if e.Class < 0 || e.Class >= len(p.settings.Classes) {
+			p.emit(Action{Kind: ActRefuse, Message: e.Message}) // the class is unknown, and nothing has run
 			return
 		}
-		c, most = &p.set.Classes[e.Class], p.set.MaxAttempts
-	}
-	m := &message{id: e.Message, key: e.Key, class: c, most: most, dest: p.used(e.Dest), worth: c.Worth}
-	m.deadline = p.now + max(e.Left, 0)
-	m.aimAt = m.deadline - c.Deadline + c.Aim
-	if p.set.WorthByWork && e.Work > 0 {
-		m.worth *= float64(e.Work)
-	}
-	if e.Tenant >= 0 && e.Tenant < len(p.tenants) && p.set.Tenants[e.Tenant].Quota > 0 {
-		// Tenants over their share come last. The share is judged by this relay's part alone.
-		part := p.set.Tenants[e.Tenant].Quota / float64(p.set.Relays)
-		b := &p.tenants[e.Tenant]
-		if !b.take(p.now, 1, part, max(part, 1)) {
-			m.worth *= p.set.OverShareWorth
+		class, maxAttempts = &p.settings.Classes[e.Class], p.settings.MaxAttempts
+	}
+	m := &message{id: e.Message, key: e.Key, class: class, maxAttempts: maxAttempts,
+		dest: p.destinationInUse(e.Dest), worth: class.Worth}
+	m.deadline = p.now + max(e.TimeLeft, 0)
+	m.targetAt = m.deadline - class.Deadline + class.TargetTime
+	if p.settings.WorthByCost && e.EstimatedCost > 0 {
+		m.worth *= float64(e.EstimatedCost)
+	}
+	if e.Tenant >= 0 && e.Tenant < len(p.tenantBuckets) && p.settings.Tenants[e.Tenant].Quota > 0 {
+		// Messages beyond the quota of their tenant come last. Each relay enforces its even share of it.
+		share := p.settings.Tenants[e.Tenant].Quota / float64(p.settings.Relays)
+		bucket := &p.tenantBuckets[e.Tenant]
+		if !bucket.take(p.now, 1, share, max(share, 1)) {
+			m.worth *= p.settings.OverShareWorth
 		}
 	}
-	p.msgs[m.id] = m
-	m.place = len(p.live)
-	p.live = append(p.live, m)
-	p.later.add(m.deadline-p.margin(), func() { p.look(m) })
-	p.resume(m, e)
-	if m.owed = e.Rules != nil; m.owed {
-		p.ease(m.dest)
-		p.suspect(m)
-	}
-	if e.OutOn != 0 {
-		p.carry(m, e)
+	p.messages[m.id] = m
+	m.index = len(p.unfinished)
+	p.unfinished = append(p.unfinished, m)
+	p.timers.add(m.deadline-p.deadlineMargin(), func() { p.endIfDue(m) })
+	p.resumeAttempts(m, e)
+	if m.inherited = e.OriginalClass != nil; m.inherited {
+		p.startSlowly(m.dest)
+		p.countInheritedFailure(m)
+	}
+	if e.InFlightEndpoint != 0 {
+		p.inheritCall(m, e)
 	} else {
 		m.dest.queue = append(m.dest.queue, m)
 	}
-	p.touch(m.dest)
-	if c.InOrder && m.key != 0 {
-		l := p.lines[m.key]
-		if l == nil {
-			l = &line{}
-			p.lines[m.key] = l
+	p.markPending(m.dest)
+	if class.InOrder && m.key != 0 {
+		key := p.orderedKeys[m.key]
+		if key == nil {
+			key = &orderedKey{}
+			p.orderedKeys[m.key] = key
 		}
-		l.turns = append(l.turns, m)
+		key.queue = append(key.queue, m)
 	}
 }
 
-// ease begins slowly at a destination that an earlier process of this relay left messages for. Where many
-// relays send little each, many may have been killed at one moment: each with a full bucket and a backlog,
-// they would ask for many times a limit at once, and the refusals use up what it would have taken. Harm: what
-// was held through a restart of this relay alone waits for up to a turn.
-func (p *Policy) ease(d *dest) {
-	for _, l := range d.lanes {
-		if p.sparse(l) && !l.tokens.used {
-			l.boost = boostLeast
-			l.tokens = bucket{at: p.now, tokens: p.rng.Float64(), used: true}
+// startSlowly reduces the send rate to a destination for which a predecessor process left messages. Where
+// many relays send few calls each, many of them may have been killed at the same moment. With full buckets
+// and a backlog they would together exceed the rate limit many times, and the rejections would use up the
+// capacity. The cost is that messages held through the restart of a single relay wait for up to one round.
+func (p *Policy) startSlowly(d *destination) {
+	for _, l := range d.limiters {
+		if p.sparse(l) && !l.bucket.initialized {
+			l.rateFactor = minRateFactor
+			l.bucket = tokenBucket{updatedAt: p.now, tokens: p.rng.Float64(), initialized: true}
 		}
 	}
 }
 
-// carry books the call that another process has out for a message as one of this policy's own. Where its
-// endpoint is off the list by now, it still holds its slot.
-func (p *Policy) carry(m *message, e *Event) {
-	c := p.carried[e.Call]
+// inheritCall counts the call that another process has in flight for a message as a call of this policy. It
+// takes its slot even if its endpoint is no longer listed.
+func (p *Policy) inheritCall(m *message, e *Event) {
+	c := p.inheritedCalls[e.InFlightCall]
 	m.call = c
 	if c == nil {
-		ep := p.eps[e.OutOn]
-		if ep == nil || ep.lane.dest != m.dest {
-			ep = &endpoint{id: e.OutOn, lane: &lane{dest: m.dest, window: 1, boost: 1,
-				hist: newCounter(historySpan, historyBins)}}
+		ep := p.endpoints[e.InFlightEndpoint]
+		if ep == nil || ep.limiter.dest != m.dest {
+			ep = &endpoint{id: e.InFlightEndpoint, limiter: &limiter{dest: m.dest, window: 1, rateFactor: 1,
+				history: newRollingCounter(historySpan, historyBins)}}
 		}
-		m.call = &call{ep: ep, sent: min(e.OutAt, p.now)}
-		if p.carried == nil {
-			p.carried = map[uint64]*call{}
+		m.call = &call{endpoint: ep, sentAt: min(e.InFlightSince, p.now)}
+		if p.inheritedCalls == nil {
+			p.inheritedCalls = map[uint64]*call{}
 		}
-		p.carried[e.Call] = m.call
+		p.inheritedCalls[e.InFlightCall] = m.call
 	}
-	p.aloft++
-	m.call.left++
-	m.call.msgs = append(m.call.msgs, m)
+	p.messagesInFlight++
+	m.call.remaining++
+	m.call.messages = append(m.call.messages, m)
 	if c == nil {
-		p.fly(m.call, m)
+		p.trackCall(m.call, m)
 	}
 }
 
-// value is what a message is worth if it is delivered then.
-func (p *Policy) value(m *message, then Time) float64 {
+// valueAt returns what a message is worth if it is delivered at the given time.
+func (p *Policy) valueAt(m *message, deliveredAt Time) float64 {
 	switch {
-	case then <= m.aimAt:
+	case deliveredAt <= m.targetAt:
 		return m.worth
-	case then > m.deadline:
+	case deliveredAt > m.deadline:
 		return 0
-	case p.set.Halving:
-		half := math.Exp2(-float64(then-m.aimAt) / float64(max(m.class.Aim, 1)))
+	case p.settings.WorthHalves:
+		half := math.Exp2(-float64(deliveredAt-m.targetAt) / float64(max(m.class.TargetTime, 1)))
 		return m.worth * max(m.class.LateWorth, half)
 	}
-	gone := float64(then-m.aimAt) / float64(max(m.deadline-m.aimAt, 1))
-	return m.worth * (1 - (1-m.class.LateWorth)*gone)
+	elapsed := float64(deliveredAt-m.targetAt) / float64(max(m.deadline-m.targetAt, 1))
+	return m.worth * (1 - (1-m.class.LateWorth)*elapsed)
 }
 
-// drain is how long the destination takes for what waits there, as far as this relay can tell.
-func (p *Policy) drain(d *dest) Time {
+// drainTime estimates how long a destination takes for its queue.
+func (p *Policy) drainTime(d *destination) Time {
 	rate := 0.0
-	for _, l := range d.lanes {
-		rate += p.pace(l)
+	for _, l := range d.limiters {
+		rate += p.sendRate(l)
 	}
-	wait := float64(len(d.queue)) / max(rate*float64(d.kind.Batch), 0.1)
-	return Time(min(wait, 60)*1e6) + p.usual(d)
+	wait := float64(len(d.queue)) / max(rate*float64(d.kind.MaxBatch), 0.1)
+	return Time(min(wait, 60)*1e6) + p.usualLatency(d)
 }
 
-// usual is how long a call to the destination takes, as far as this relay can tell.
-func (p *Policy) usual(d *dest) Time {
-	if len(d.lanes) > 0 && d.lanes[0].lat.n > 0 {
-		return Time(d.lanes[0].lat.mean)
+// usualLatency estimates how long a call to the destination takes.
+func (p *Policy) usualLatency(d *destination) Time {
+	if len(d.limiters) > 0 && d.limiters[0].latency.samples > 0 {
+		return Time(d.limiters[0].latency.mean)
 	}
-	if p.lat.n > 0 {
-		return Time(p.lat.mean)
+	if p.latency.samples > 0 {
+		return Time(p.latency.mean)
 	}
-	return p.set.Classes[0].Aim / 4
+	return p.settings.Classes[0].TargetTime / 4
 }
 
-// order puts first what loses most if it waits as long as the queue takes. What an earlier process left
-// untried goes before it, within what the destination is sent anyway: late, it would lose least and never
-// have its turn. Harm: what is new may wait for it, once after a restart.
-func (p *Policy) order(d *dest) {
-	soon := p.now + p.usual(d)
-	then := soon + p.drain(d)
+// sortQueue puts first the messages that lose most if they wait until the queue is drained. Messages that a
+// predecessor process left without an attempt go before the others, within the same limits of the
+// destination: as they are late they would lose least and never be sent. The cost is that new messages may
+// wait for them, once after a restart.
+func (p *Policy) sortQueue(d *destination) {
+	earliest := p.now + p.usualLatency(d)
+	latest := earliest + p.drainTime(d)
 	for _, m := range d.queue {
-		m.loss = p.value(m, soon) - p.value(m, then)
-		if m.owed && m.tries == 0 { // it was taken on, and has waited through a restart as well
-			m.loss += p.dear
+		m.waitLoss = p.valueAt(m, earliest) - p.valueAt(m, latest)
+		if m.inherited && m.attempts == 0 { // it has already waited through a restart
+			m.waitLoss += p.maxWorth
 		}
 	}
 	slices.SortStableFunc(d.queue, func(a, b *message) int {
-		return cmp.Or(cmp.Compare(b.loss, a.loss), cmp.Compare(a.aimAt, b.aimAt))
+		return cmp.Or(cmp.Compare(b.waitLoss, a.waitLoss), cmp.Compare(a.targetAt, b.targetAt))
 	})
 }
 
-// shed keeps a little room: a message turned away unseen may be worth more than the least one held, and those
-// whose destination is out or resting for long must not take the room of the others.
+// shed ends the messages of least value until some of MaxHeld is free: a new message that would be refused
+// unseen may be worth more than they are, and messages whose destination is unavailable for long must not
+// take the places of the others.
 func (p *Policy) shed() {
-	for p.set.MaxHeld > 0 && len(p.live) > p.set.MaxHeld-max(1, p.set.MaxHeld/heldReserve) {
+	for p.settings.MaxHeld > 0 &&
+		len(p.unfinished) > p.settings.MaxHeld-max(1, p.settings.MaxHeld/heldReserveDivisor) {
 		var least *message
-		low := math.Inf(1)
-		p.passes++
-		for _, m := range p.live {
-			if p.refusable(m) && !(m.owed && m.tries == 0) {
+		lowestValue := math.Inf(1)
+		p.shedPasses++
+		for _, m := range p.unfinished {
+			if p.mayHandBack(m) && !(m.inherited && m.attempts == 0) {
 				d := m.dest
-				if d.pass != p.passes { // the same for all that wait there
-					at := p.opens(d)
-					if at == math.MaxInt64 { // an answer, not the time, lets it go
-						at = p.now
+				if d.shedPass != p.shedPasses { // computed once for each destination
+					dispatchAt := p.nextDispatchAt(d)
+					if dispatchAt == math.MaxInt64 { // it waits for an outcome, not for a time
+						dispatchAt = p.now
 					}
-					d.pass, d.doneAt = p.passes, at+p.drain(d)
+					d.shedPass, d.drainedAt = p.shedPasses, dispatchAt+p.drainTime(d)
 				}
-				if v := p.value(m, min(d.doneAt, m.deadline)); v < low {
-					least, low = m, v
+				if value := p.valueAt(m, min(d.drainedAt, m.deadline)); value < lowestValue {
+					least, lowestValue = m, value
 				}
 			}
 		}
 		if least == nil {
 			return
 		}
-		p.end(least)
+		p.endMessage(least)
 	}
 }
--- a/decide/records_test.go
+++ b/decide/records_test.go
@@ -10,14 +10,14 @@
 func TestAttemptsThatCannotBeRecorded(t *testing.T) {
 	s := one()
 	s.Classes = []Class{
-		{Name: "safe", Repeat: Safe},
-		{Name: "unsafe", Repeat: Unsafe},
-		{Name: "keyed, over before its window is", Repeat: Keyed, DedupWindow: 20 * second},
-		{Name: "keyed, over after its window", Repeat: Keyed, DedupWindow: 20*second - 1},
-		{Name: "keyed within a zone", Repeat: Keyed, DedupWindow: 20 * second, ZoneOnly: true},
+		{Name: "safe", Idempotency: Idempotent},
+		{Name: "unsafe", Idempotency: NonIdempotent},
+		{Name: "keyed, over before its window is", Idempotency: Deduplicated, DedupWindow: 20 * second},
+		{Name: "keyed, over after its window", Idempotency: Deduplicated, DedupWindow: 20*second - 1},
+		{Name: "keyed within a zone", Idempotency: Deduplicated, DedupWindow: 20 * second, DedupByZone: true},
 	}
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline, s.Classes[i].Worth = 2*second, 20*second, 1
+		s.Classes[i].TargetTime, s.Classes[i].Deadline, s.Classes[i].Worth = 2*second, 20*second, 1
 	}
 	var entries []Entry
 	for class := range s.Classes {
@@ -26,7 +26,7 @@
 		entries = append(entries, e)
 	}
 	r := newRig(t, s, entries...)
-	r.step(Event{Kind: EvRecords, Unrecorded: true})
+	r.step(Event{Kind: EvRecording, CannotRecord: true})
 	var events []Event
 	for class := range s.Classes {
 		events = append(events, r.message(class, class))
@@ -48,13 +48,13 @@
 			t.Fatalf("then sent to %v", sent())
 		}
 	}
-	r.step(Event{Kind: EvRecords})
+	r.step(Event{Kind: EvRecording})
 	if !slices.Equal(sent(), []Endpoint{2, 4, 5}) {
 		t.Fatalf("sent to %v once attempts can be recorded", sent())
 	}
 	for _, a := range r.sends {
-		if a.Attempt != 0 && r.p.msgs[a.Message].tries != 1 {
-			t.Errorf("message %d has used %d attempts", a.Message, r.p.msgs[a.Message].tries)
+		if a.Attempt != 0 && r.p.messages[a.Message].attempts != 1 {
+			t.Errorf("message %d has used %d attempts", a.Message, r.p.messages[a.Message].attempts)
 		}
 	}
 }
--- a/decide/resume_test.go
+++ b/decide/resume_test.go
@@ -9,11 +9,11 @@
 // goes out again only as its class allows, and its attempts count on.
 func TestResume(t *testing.T) {
 	set := Settings{Relays: 1, Slots: 8, MaxAttempts: 3, Tick: 5000, RatesListed: true, RetryAfter: true,
-		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, FallTime: 3 * second, Kinds: []Kind{{Batch: 1}},
+		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, OverloadTime: 3 * second, Kinds: []DestKind{{MaxBatch: 1}},
 		Classes: []Class{
-			{Name: "safe", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Safe},
-			{Name: "keyed", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Keyed, DedupWindow: 5 * second},
-			{Name: "unsafe", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Unsafe}}}
+			{Name: "safe", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, Idempotency: Idempotent},
+			{Name: "keyed", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, Idempotency: Deduplicated, DedupWindow: 5 * second},
+			{Name: "unsafe", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, Idempotency: NonIdempotent}}}
 	now := 100 * second
 	for name, x := range map[string]struct {
 		class, tries int
@@ -38,7 +38,7 @@
 			}
 			actions := p.Step(now, []Event{
 				{Kind: EvList, List: ListFull, Entries: []Entry{{Endpoint: 7, Dest: 1, State: Ready, Rate: 20}}},
-				{Kind: EvMessage, Message: 1, Class: x.class, Dest: 1, Left: x.left, Tries: x.tries, DoubtAt: x.doubt},
+				{Kind: EvMessage, Message: 1, Class: x.class, Dest: 1, TimeLeft: x.left, Attempts: x.tries, MayHaveRunAt: x.doubt},
 			}, nil)
 			var got []ActionKind
 			for _, a := range actions {
@@ -54,7 +54,7 @@
 			}
 			// The attempt counts on from those before: its outcome bears their number.
 			after := p.Step(now+second/10, []Event{{Kind: EvOutcome, Message: 1, Attempt: x.tries, Endpoint: 7,
-				Outcome: Delivered, Settled: true, Took: second / 10}}, nil)
+				Outcome: Delivered, Final: true, Duration: second / 10}}, nil)
 			for _, a := range after {
 				if a.Kind != ActTimer && a.Kind != ActLog {
 					t.Errorf("still to do: %v", a.Kind)
@@ -72,10 +72,10 @@
 	r := newRig(t, s)
 	events := []Event{r.message(0, 0), r.message(0, 0), r.message(0, 0), r.message(0, 0), r.message(0, 0), r.message(0, 0)}
 	for i := range events { // new, and just past their aim: they lose by each moment
-		events[i].Left = s.Classes[0].Deadline - s.Classes[0].Aim - second/10
+		events[i].TimeLeft = s.Classes[0].Deadline - s.Classes[0].TargetTime - second/10
 	}
-	events[0].Rules, events[0].Left = &s.Classes[0], 5*second // untried
-	events[1].Rules, events[1].Left, events[1].Tries = &s.Classes[0], 5*second, 1
+	events[0].OriginalClass, events[0].TimeLeft = &s.Classes[0], 5*second // untried
+	events[1].OriginalClass, events[1].TimeLeft, events[1].Attempts = &s.Classes[0], 5*second, 1
 	r.step(events...)
 	var ended []uint32
 	for range 4 {
