--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,119 +2,123 @@
 
 import "slices"
 
-// Retry: whether a message may be tried again, when an attempt times out, and the one end of each message.
+// Retry: whether a message may have another attempt, when an attempt times out, and how a message ends.
 
-// refusable: only what cannot have run, or may run again, may be handed back.
-func (p *Policy) refusable(m *message) bool {
-	if m.call != nil || m.doubtAt == 0 || m.class.Repeat == Safe {
+// mayHandBack reports whether a message may be handed back to the client: it has no attempt in flight, and
+// it cannot have run or may run again.
+func (p *Policy) mayHandBack(m *message) bool {
+	if m.call != nil || m.mayHaveRunAt == 0 || m.class.Idempotency == Idempotent {
 		return m.call == nil
 	}
-	return m.class.Repeat == Keyed && !m.class.ZoneOnly && p.now-m.doubtAt < m.class.DedupWindow
+	return m.class.Idempotency == Deduplicated && !m.class.DedupByZone &&
+		p.now-m.mayHaveRunAt < m.class.DedupWindow
 }
 
-// spent: no further attempt of this message is allowed, ever.
-func (p *Policy) spent(m *message) bool {
-	if m.tries >= 255 || m.most > 0 && m.tries >= m.most {
+// attemptsExhausted reports whether a message may never have another attempt.
+func (p *Policy) attemptsExhausted(m *message) bool {
+	if m.attempts >= 255 || m.maxAttempts > 0 && m.attempts >= m.maxAttempts {
 		return true
 	}
-	if m.doubtAt == 0 || m.class.Repeat == Safe {
+	if m.mayHaveRunAt == 0 || m.class.Idempotency == Idempotent {
 		return false
 	}
-	return m.class.Repeat == Unsafe || p.now-m.doubtAt > m.class.DedupWindow-2*p.set.Tick
+	return m.class.Idempotency == NonIdempotent ||
+		p.now-m.mayHaveRunAt > m.class.DedupWindow-2*p.settings.Tick
 }
 
-// look ends a message that would run out of time before the next look, or that can never be sent again.
-func (p *Policy) look(m *message) {
-	if m.over || p.now < m.deadline-p.margin() && (m.call != nil || !p.spent(m)) {
+// endIfDue ends a message whose deadline is near, or one that waits and may never be sent again.
+func (p *Policy) endIfDue(m *message) {
+	if m.ended || p.now < m.deadline-p.deadlineMargin() && (m.call != nil || !p.attemptsExhausted(m)) {
 		return
 	}
-	if m.call != nil && p.set.Cancels {
-		p.act(Action{Kind: ActCancel, Message: m.id, Attempt: m.tries - 1})
+	if m.call != nil && p.settings.MayCancel {
+		p.emit(Action{Kind: ActCancel, Message: m.id, Attempt: m.attempts - 1})
 	}
-	p.end(m)
+	p.endMessage(m)
 }
 
-// needsRecord: an attempt of the message must not go out unless it is recorded. After a kill the message
-// would be sent once more as if that attempt had never been: harmless only where it may simply be repeated,
-// or where its time is over before its repeats are no longer recognised.
+// needsRecord reports whether an attempt of the message must be recorded before it is sent. If the process
+// is killed, its successor sends the message again without knowing of an unrecorded attempt. That is
+// harmless only if the message is idempotent, or if its deadline passes while the destination still
+// recognizes its duplicates.
 func (p *Policy) needsRecord(m *message) bool {
-	switch m.class.Repeat {
-	case Safe:
+	switch m.class.Idempotency {
+	case Idempotent:
 		return false
-	case Keyed:
-		return m.class.ZoneOnly || m.deadline > p.now+m.class.DedupWindow
+	case Deduplicated:
+		return m.class.DedupByZone || m.deadline > p.now+m.class.DedupWindow
 	}
 	return true
 }
 
-// cutAt is when an attempt times out.
-func (p *Policy) cutAt(m *message, ep *endpoint) Time {
-	last := m.deadline - 2*p.margin()
-	if m.class.Repeat == Unsafe {
-		return last // it cannot be tried again
+// timeoutAt returns when an attempt times out.
+func (p *Policy) timeoutAt(m *message, ep *endpoint) Time {
+	latest := m.deadline - 2*p.deadlineMargin()
+	if m.class.Idempotency == NonIdempotent {
+		return latest // it cannot be retried
 	}
-	return min(last, p.now+p.span(m, ep))
+	return min(latest, p.now+p.callTimeout(m, ep))
 }
 
-// span is how long a call may take before it is held to be lost.
-func (p *Policy) span(m *message, ep *endpoint) Time {
-	span := float64(m.class.Aim)
-	if l := &ep.lane.lat; l.n > 0 {
-		span = max(4*l.mean+4*l.dev, span)
+// callTimeout returns how long a call may take before it counts as lost.
+func (p *Policy) callTimeout(m *message, ep *endpoint) Time {
+	timeout := float64(m.class.TargetTime)
+	if latency := &ep.limiter.latency; latency.samples > 0 {
+		timeout = max(4*latency.mean+4*latency.deviation, timeout)
 	}
-	return Time(span)
+	return Time(timeout)
 }
 
-// end gives the one final answer of a message that was not delivered. Nothing else does.
-func (p *Policy) end(m *message) {
-	if m.over {
+// endMessage gives the final result of a message that was not delivered. No other function does.
+func (p *Policy) endMessage(m *message) {
+	if m.ended {
 		return
 	}
-	if p.refusable(m) {
+	if p.mayHandBack(m) {
 		a := Action{Kind: ActRefuse, Message: m.id}
-		if p.set.RetryAfter {
-			a.After = min(p.drain(m.dest), p.set.MaxRetryAfter)
+		if p.settings.RetryAfter {
+			a.After = min(p.drainTime(m.dest), p.settings.MaxRetryAfter)
 		}
-		p.act(a)
-		if m.tries == 0 {
-			p.logWaits(m.dest)
+		p.emit(a)
+		if m.attempts == 0 {
+			p.logWaitReasons(m.dest)
 		}
 	} else {
-		p.act(Action{Kind: ActFail, Message: m.id})
+		p.emit(Action{Kind: ActFail, Message: m.id})
 	}
-	p.finish(m)
+	p.finishMessage(m)
 }
 
-// finish forgets a message that is owed nothing more; an attempt still out keeps its place in the books.
-func (p *Policy) finish(m *message) {
-	if m.over {
+// finishMessage marks a message as ended; an attempt in flight is still accounted for.
+func (p *Policy) finishMessage(m *message) {
+	if m.ended {
 		return
 	}
-	m.over = true
+	m.ended = true
 	if m.call != nil {
-		p.aloft--
+		p.messagesInFlight--
 	}
-	last := p.live[len(p.live)-1]
-	p.live[m.place], last.place = last, m.place
-	p.live = p.live[:len(p.live)-1]
+	last := p.unfinished[len(p.unfinished)-1]
+	p.unfinished[m.index], last.index = last, m.index
+	p.unfinished = p.unfinished[:len(p.unfinished)-1]
 	m.dest.queue = slices.DeleteFunc(m.dest.queue, func(x *message) bool { return x == m })
 	if m.call == nil {
-		p.forget(m)
+		p.forgetMessage(m)
 	}
 }
 
-// forget drops the last trace of an ended message and gives its turn away.
-func (p *Policy) forget(m *message) {
-	delete(p.msgs, m.id)
-	if l := p.lines[m.key]; l != nil && m.class.InOrder {
-		l.turns = slices.DeleteFunc(l.turns, func(x *message) bool { return x == m })
-		for _, x := range l.turns[:min(1, len(l.turns))] {
-			p.touch(x.dest)
+// forgetMessage removes an ended message and lets the next message of its key go.
+func (p *Policy) forgetMessage(m *message) {
+	delete(p.messages, m.id)
+	if key := p.orderedKeys[m.key]; key != nil && m.class.InOrder {
+		key.queue = slices.DeleteFunc(key.queue, func(x *message) bool { return x == m })
+		for _, x := range key.queue[:min(1, len(key.queue))] {
+			p.markPending(x.dest)
 		}
-		if len(l.turns) == 0 {
-			p.later.add(l.rest, func() {
-				if len(l.turns) == 0 && l.rest <= p.now {
-					delete(p.lines, m.key)
+		if len(key.queue) == 0 {
+			p.timers.add(key.pausedUntil, func() {
+				if len(key.queue) == 0 && key.pausedUntil <= p.now {
+					delete(p.orderedKeys, m.key)
 				}
 			})
 		}
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -8,7 +8,7 @@
 func TestRetune(t *testing.T) {
 	before := one()
 	before.MaxAttempts = 2
-	before.Classes = append(before.Classes, Class{Name: "once", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Unsafe})
+	before.Classes = append(before.Classes, Class{Name: "once", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, Idempotency: NonIdempotent})
 	r := newRig(t, before, ready(7, 1000), Entry{Endpoint: 8, Dest: 1, State: Ready, Rate: 1000})
 	r.step(r.message(1, 0), r.message(0, 0))
 	var out []Action
@@ -24,22 +24,22 @@
 	if len(out) == 0 || out[0].Message != 1 {
 		t.Fatalf("sent %v", out)
 	}
-	req, acc := r.p.dest(0).lanes[0].hist.totals(r.now)
-	window := r.p.dest(0).lanes[0].window
+	req, acc := r.p.destination(0).limiters[0].history.totals(r.now)
+	window := r.p.destination(0).limiters[0].window
 
 	after := one()
 	after.MaxAttempts = 5
-	after.Classes = []Class{{Name: "new", Aim: second, Deadline: 5 * second, Worth: 1, Repeat: Unsafe},
-		{Name: "once", Aim: 2 * second, Deadline: 20 * second, Worth: 1, Repeat: Safe}}
+	after.Classes = []Class{{Name: "new", TargetTime: second, Deadline: 5 * second, Worth: 1, Idempotency: NonIdempotent},
+		{Name: "once", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, Idempotency: Idempotent}}
 	wrong := after
 	wrong.Slots = 0
 	r.step(Event{Kind: EvSettings, Settings: &wrong})
-	if r.p.set.MaxAttempts != 2 {
+	if r.p.settings.MaxAttempts != 2 {
 		t.Fatal("settings that cannot be were taken")
 	}
 	r.step(Event{Kind: EvSettings, Settings: &after})
-	if q, a := r.p.dest(0).lanes[0].hist.totals(r.now); q != req || a != acc || r.p.dest(0).lanes[0].window != window {
-		t.Errorf("history %v %v and window %v became %v %v and %v", req, acc, window, q, a, r.p.dest(0).lanes[0].window)
+	if q, a := r.p.destination(0).limiters[0].history.totals(r.now); q != req || a != acc || r.p.destination(0).limiters[0].window != window {
+		t.Errorf("history %v %v and window %v became %v %v and %v", req, acc, window, q, a, r.p.destination(0).limiters[0].window)
 	}
 	// The unsafe message has run, as far as anybody knows.
 	if acts := r.step(answer(out[0], Errored)); count(acts, ActFail) != 1 || count(acts, ActSend) != 0 {
@@ -47,12 +47,12 @@
 	}
 	// A new one of that class may run again. A refusal at the other destination tells a wait.
 	r.now += second
-	m := Event{Kind: EvMessage, Message: 50, Class: 1, Dest: 1, Left: 20 * second}
+	m := Event{Kind: EvMessage, Message: 50, Class: 1, Dest: 1, TimeLeft: 20 * second}
 	if r.step(m); len(r.sends) != 1 {
 		t.Fatalf("sends %v", r.sends)
 	}
-	full := answer(r.sends[0], Full)
-	full.Wait = 3 * second
+	full := answer(r.sends[0], Rejected)
+	full.RetryAfter = 3 * second
 	r.step(full)
 	again := one()
 	r.step(Event{Kind: EvSettings, Settings: &again})
@@ -80,10 +80,10 @@
 // the class that stands at its place now.
 func TestResumeUnderItsOwnRules(t *testing.T) {
 	r := newRig(t, one(), ready(7, 1000))
-	rules := &Class{Name: "gone", Aim: second, Deadline: 9 * second, Worth: 1, Repeat: Unsafe}
-	acts := r.step(Event{Kind: EvMessage, Message: 1, Left: 5 * second, Tries: 1, DoubtAt: r.now - second, Rules: rules, Most: 6},
-		Event{Kind: EvMessage, Message: 2, Left: 5 * second, Tries: 2, Rules: rules, Most: 2},
-		Event{Kind: EvMessage, Message: 3, Left: 5 * second, Tries: 1, Rules: rules, Most: 2})
+	rules := &Class{Name: "gone", TargetTime: second, Deadline: 9 * second, Worth: 1, Idempotency: NonIdempotent}
+	acts := r.step(Event{Kind: EvMessage, Message: 1, TimeLeft: 5 * second, Attempts: 1, MayHaveRunAt: r.now - second, OriginalClass: rules, OriginalMaxAttempts: 6},
+		Event{Kind: EvMessage, Message: 2, TimeLeft: 5 * second, Attempts: 2, OriginalClass: rules, OriginalMaxAttempts: 2},
+		Event{Kind: EvMessage, Message: 3, TimeLeft: 5 * second, Attempts: 1, OriginalClass: rules, OriginalMaxAttempts: 2})
 	if count(acts, ActFail) != 1 || count(acts, ActRefuse) != 1 || len(r.sends) != 1 || r.sends[0].Message != 3 {
 		t.Errorf("actions %v", acts)
 	}
--- a/decide/second_test.go
+++ b/decide/second_test.go
@@ -7,7 +7,7 @@
 func TestSecondOutage(t *testing.T) {
 	failures := func(again bool) int {
 		r := newRig(t, one(), ready(1, 1000))
-		ep := r.p.eps[1]
+		ep := r.p.endpoints[1]
 		var out []Action
 		tries := map[uint32]int{}
 		step := func(events ...Event) {
@@ -34,14 +34,14 @@
 		}
 		call(Delivered)
 		if again {
-			for n := 0; !ep.sick; n++ {
+			for n := 0; !ep.ejected; n++ {
 				if n > 20 {
 					t.Fatal("never held to be out")
 				}
 				call(Errored)
 			}
 			call(Delivered)
-			for n := 0; ep.sick; n++ {
+			for n := 0; ep.ejected; n++ {
 				if n > 400 {
 					t.Fatal("never well again")
 				}
@@ -49,7 +49,7 @@
 			}
 		}
 		for n := 1; n <= 20; n++ {
-			if call(Errored); ep.sick {
+			if call(Errored); ep.ejected {
 				return n
 			}
 		}
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -9,7 +9,7 @@
 	t.Helper()
 	s := one()
 	s.Relays, s.MaxHeld, s.Slots = mostListed, 2*mostListed, mostListed
-	s.Kinds = []Kind{{Batch: 1, Apart: apart}}
+	s.Kinds = []DestKind{{MaxBatch: 1, SeparateLimits: apart}}
 	p, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -32,11 +32,11 @@
 	}{{"one destination", 1, false}, {"one destination, routes apart", 1, true}, {"each its own", mostListed, false}} {
 		p, s := many(t, c.dests, c.apart)
 		gone := map[Endpoint]bool{}
-		e := Event{Kind: EvList, List: ListChange}
+		e := Event{Kind: EvList, List: ListDelta}
 		for i := c.dests / 2; i < c.dests; i += 2 {
 			if c.dests > 1 {
 				gone[Endpoint(i+1)] = true
-				e.Entries = append(e.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i, State: Gone})
+				e.Entries = append(e.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i, State: Removed})
 			}
 		}
 		now := 1001 * second
@@ -47,7 +47,7 @@
 			for i := range 16 {
 				n := 16*step + i
 				if n < mostListed {
-					events = append(events, Event{Kind: EvMessage, Message: uint32(n + 1), Dest: n % c.dests, Left: s.Classes[0].Deadline})
+					events = append(events, Event{Kind: EvMessage, Message: uint32(n + 1), Dest: n % c.dests, TimeLeft: s.Classes[0].Deadline})
 				}
 			}
 			acts := p.Step(now, events, nil)
@@ -77,7 +77,7 @@
 	p, s := many(b, 1, false)
 	now := 1001 * second
 	for n := uint32(1); b.Loop(); n++ {
-		acts := p.Step(now, []Event{{Kind: EvMessage, Message: n, Left: s.Classes[0].Deadline}}, nil)
+		acts := p.Step(now, []Event{{Kind: EvMessage, Message: n, TimeLeft: s.Classes[0].Deadline}}, nil)
 		var events []Event
 		for _, a := range acts {
 			if a.Kind == ActSend {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -2,107 +2,122 @@
 
 import "math"
 
-// Slow start: how many calls an endpoint may be sent from its outage until it has all of its capacity again.
+// Slow start: how many calls an endpoint may get from the start of an outage until its full capacity is back.
 
 const (
-	burstShare     = 0.25    // part of a relay's budget for a fall time that it may send at once
-	falterDeviates = 2.0     // a cold destination stands its budget, so many square roots of it ...
-	falterCalls    = 2.0     // ... and so many calls more
-	spareDeviates  = 1.5     // of those square roots, what relays that pace their calls evenly may use
-	informedShare  = 2.0 / 3 // a fall counts against relays that knew of the outage if they sent more
+	// budgetBurstShare is the part of a relay's budget for an overload time that it may send at once.
+	budgetBurstShare = 0.25
+	// toleratedDeviations is how many square roots of its budget a recovering destination withstands on top
+	// of the budget.
+	toleratedDeviations = 2.0
+	// toleratedExtraCalls is how many further calls it withstands.
+	toleratedExtraCalls = 2.0
+	// pacedDeviations is how many of those square roots may be used by relays that space their calls evenly.
+	pacedDeviations = 1.5
+	// informedCallShare is the share of those calls above which a repeated failure is attributed to the
+	// relays that knew of the outage.
+	informedCallShare = 2.0 / 3
 )
 
-// suspected: the last calls failed, but too few of them to hold the endpoint to be out.
-func (ep *endpoint) suspected() bool { return !ep.sick && ep.badAt > ep.okAt }
+// suspected reports whether the last calls failed, but too few of them to eject the endpoint.
+func (ep *endpoint) suspected() bool { return !ep.ejected && ep.lastFailureAt > ep.lastSuccessAt }
 
-// suspect counts an attempt of an earlier process as a failure, where its message is still owed and nothing
-// is known of the endpoints. With the next failure it makes a verdict of two.
-func (p *Policy) suspect(m *message) {
-	if m.tries == 0 {
+// countInheritedFailure counts an attempt that a predecessor process made for a message as a failure of
+// endpoints that have had no success yet. Together with the next failure it reaches
+// ejectionScoreFewCalls.
+func (p *Policy) countInheritedFailure(m *message) {
+	if m.attempts == 0 {
 		return
 	}
-	for _, l := range m.dest.lanes {
-		for _, ep := range l.eps {
-			if ep.okAt == 0 && p.seesLittle(l) {
-				ep.score = max(ep.score, 1-scoreKeep)
+	for _, l := range m.dest.limiters {
+		for _, ep := range l.endpoints {
+			if ep.lastSuccessAt == 0 && p.seesFewCalls(l) {
+				ep.failureScore = max(ep.failureScore, 1-scoreDecay)
 			}
 		}
 	}
 }
 
-// ramped is the share of its capacity that an endpoint is held to have.
-func (p *Policy) ramped(ep *endpoint) float64 {
-	s := p.rampedAt(ep, p.now)
-	if s >= 1 && ep.goodAt > 0 { // it is over, and nothing is left of it
-		ep.sick, ep.score, ep.goodAt = false, 0, 0
-		p.act(Action{Kind: ActOutage, Endpoint: ep.id})
+// rampShare returns the share of its capacity that an endpoint is assumed to have now. Once the ramp is over
+// it ends the outage.
+func (p *Policy) rampShare(ep *endpoint) float64 {
+	share := p.rampShareAt(ep, p.now)
+	if share >= 1 && ep.recoveredAt > 0 { // the ramp is over
+		ep.ejected, ep.failureScore, ep.recoveredAt = false, 0, 0
+		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
 	}
-	return s
+	return share
 }
 
-// rampedAt is the share of its capacity that an endpoint is held to have at a moment.
-func (p *Policy) rampedAt(ep *endpoint, at Time) float64 {
-	start := p.set.StartCapacity
-	if ep.goodAt == 0 {
+// rampShareAt returns the share of its capacity that an endpoint is assumed to have at the given time.
+func (p *Policy) rampShareAt(ep *endpoint, at Time) float64 {
+	start := p.settings.StartCapacity
+	if ep.recoveredAt == 0 {
 		return start
 	}
-	return start + (1-start)*float64(max(at-ep.goodAt, 0))/float64(max(p.set.RampTime, 1))
+	return start + (1-start)*float64(max(at-ep.recoveredAt, 0))/float64(max(p.settings.RampTime, 1))
 }
 
-// fallTime is the time in seconds over which calls to a cold endpoint are counted.
-func (p *Policy) fallTime() float64 {
-	return float64(max(p.set.FallTime, second)) / float64(second)
+// overloadSeconds returns the time in seconds over which calls to a recovering endpoint are counted.
+func (p *Policy) overloadSeconds() float64 {
+	return float64(max(p.settings.OverloadTime, second)) / float64(second)
 }
 
-// slowStartPeers is how many relays are taken to share the budget of an endpoint: those that may have
-// something for the destination since the outage began. That is all of them where they are few, else about as
-// many as messages have come since, of which a call may carry several.
+// slowStartPeers returns the number of relays assumed to share the budget of an endpoint: those that may
+// have had a message for the destination since the outage began. These are all relays if they are few, and
+// otherwise in proportion to the messages that have arrived since, of which a call may carry several.
 func (p *Policy) slowStartPeers(ep *endpoint) float64 {
-	age := float64(p.now-ep.firstBad)/float64(second) + p.fallTime()
-	messages := p.capacity(ep.lane) * float64(ep.lane.dest.kind.Batch) * age
-	return min(float64(p.set.Relays), max(1, sharerPart*messages))
+	age := float64(p.now-ep.firstFailureAt)/float64(second) + p.overloadSeconds()
+	messages := p.capacity(ep.limiter) * float64(ep.limiter.dest.kind.MaxBatch) * age
+	return min(float64(p.settings.Relays), max(1, relaysPerMessage*messages))
 }
 
-// slowStartBudget is how many calls peers may send an endpoint in a fall time. A call counts in every window
-// of that length which contains it; the first of them began a fall time ago, with the least capacity.
+// slowStartBudget returns how many calls peers relays together may send an endpoint in an overload time. A
+// call counts in every time window of that length that contains it; the first of these began an overload
+// time ago, with the lowest capacity.
 func (p *Policy) slowStartBudget(ep *endpoint, peers float64) float64 {
-	share := p.ramped(ep)
-	whole := p.set.OverloadFactor * p.capacity(ep.lane) / float64(max(len(ep.lane.eps), 1)) * p.fallTime()
-	began := whole * p.rampedAt(ep, p.now-Time(p.fallTime()*float64(second)))
-	deviate := math.Sqrt(began)
+	share := p.rampShare(ep)
+	total := p.settings.OverloadFactor * p.capacity(ep.limiter) /
+		float64(max(len(ep.limiter.endpoints), 1)) * p.overloadSeconds()
+	startBudget := total * p.rampShareAt(ep, p.now-Time(p.overloadSeconds()*float64(second)))
+	deviation := math.Sqrt(startBudget)
 	switch {
-	case began*burstShare >= peers: // no part is drawn, so chance adds nothing
-		return min(whole*share, began+spareDeviates*deviate)
-	case p.seesLittle(ep.lane): // some may not know of the outage, and send as to a sound endpoint
-		return min(began, informedShare*(began+falterDeviates*deviate+falterCalls))
+	case startBudget*budgetBurstShare >= peers:
+		// Every relay may send bursts, so that no random costs add variation.
+		return min(total*share, startBudget+pacedDeviations*deviation)
+	case p.seesFewCalls(ep.limiter):
+		// Some relays may not know of the outage and send at the full rate.
+		return min(startBudget,
+			informedCallShare*(startBudget+toleratedDeviations*deviation+toleratedExtraCalls))
 	}
-	return began
+	return startBudget
 }
 
-// budgetRate is this relay's part of what the endpoint may be sent while cold: calls a second, and how many
-// may come at once. A burst and the refill of one fall time together stay inside the budget.
-func (p *Policy) budgetRate(ep *endpoint) (rate, depth float64) {
+// budgetRate returns this relay's share of the slow-start budget: the calls a second and the burst size. A
+// burst and the refill of one overload time together stay within the budget.
+func (p *Policy) budgetRate(ep *endpoint) (rate, burst float64) {
 	peers := p.slowStartPeers(ep)
-	part := p.slowStartBudget(ep, peers) / peers
-	if depth = part * burstShare; depth >= 1 {
-		return (part - depth) / p.fallTime(), depth
+	share := p.slowStartBudget(ep, peers) / peers
+	if burst = share * budgetBurstShare; burst >= 1 {
+		return (share - burst) / p.overloadSeconds(), burst
 	}
-	return part / p.fallTime(), depth
+	return share / p.overloadSeconds(), burst
 }
 
-// spend takes a call out of the budget. Relays must not act in step where none may send several calls at
-// once: each then needs a random amount, with a mean of one, for its next call. Where it sends one call and
-// more in a fall time, amounts that differ little keep the sum of all relays near its mean; where it sends
-// less, only the spread of all the amounts keeps them apart.
-func (p *Policy) spend(ep *endpoint) {
-	rate, depth := p.budgetRate(ep)
-	ep.budget.take(p.now, ep.need, rate, max(depth, ep.need))
+// spendBudget takes a call out of the slow-start budget and sets the cost of the next one. Where relays may
+// not send bursts they must not call at the same moments, so the cost of the next call is random with a
+// mean of one. A relay that sends one call or more in an overload time draws costs that differ little,
+// which keeps the sum over all relays near its mean; one that sends less needs the wider spread to stay out
+// of step with the others.
+func (p *Policy) spendBudget(ep *endpoint) {
+	rate, burst := p.budgetRate(ep)
+	ep.budget.take(p.now, ep.nextCallCost, rate, max(burst, ep.nextCallCost))
 	switch {
-	case depth >= 1:
-		ep.need = 1
-	case rate*p.fallTime() >= 1:
-		ep.need = 0.5 + p.rng.Float64()
+	case burst >= 1:
+		ep.nextCallCost = 1
+	case rate*p.overloadSeconds() >= 1:
+		ep.nextCallCost = 0.5 + p.rng.Float64()
 	default:
-		ep.need = p.rng.ExpFloat64()
+		ep.nextCallCost = p.rng.ExpFloat64()
 	}
 }
--- a/decide/state.go
+++ b/decide/state.go
@@ -5,193 +5,203 @@
 	"math/rand/v2"
 )
 
-// What a policy remembers; nothing is decided here.
+// The state of a policy. No decision is made in this file.
 
-// Policy decides for one relay.
+// Policy makes the decisions of one relay.
 type Policy struct {
-	set        Settings
-	rng        *rand.Rand
-	now        Time
-	out        []Action
-	dests      map[int]*dest
-	eps        map[Endpoint]*endpoint
-	msgs       map[uint32]*message
-	live       []*message // not yet ended
-	lines      map[uint64]*line
-	later      agenda[func()] // what is put off
-	touched    []*dest        // to be looked at in this turn
-	ready      []*dest        // wait for nothing but a slot
-	tenants    []bucket
-	calls      int
-	carried    map[uint64]*call // by their number, while a step takes them up
-	aloft      int              // messages not ended with an attempt out
-	armed      Time
-	asked      Time
-	unrecorded bool      // attempts cannot be recorded before they are sent
-	share      float64   // what a destination's rate is divided by for this relay's part
-	dear       float64   // what the class that is worth most is worth
-	fall       float64   // what a refusal leaves of a pace
-	passes     int       // looks over all that is held so far
-	looks      int       // how often it was asked when a destination opens: the dear part of a turn
-	tight      []float64 // share of calls that found no connection, by kind of destination
-	lat        latency   // of all answers
-	held
-	strain  float64 // share of refusals in the last calls to lanes that are sparse
-	pressed Time    // since when messages wait and every slot is taken; 0 for not
+	settings         Settings
+	rng              *rand.Rand
+	now              Time
+	actions          []Action // of the current step
+	destinations     map[int]*destination
+	endpoints        map[Endpoint]*endpoint
+	messages         map[uint32]*message
+	unfinished       []*message             // messages not yet ended
+	orderedKeys      map[uint64]*orderedKey // by ordering key
+	timers           timerQueue[func()]
+	pending          []*destination // destinations to evaluate in this step
+	dispatchable     []*destination // destinations with a picked message, which wait only for a slot
+	tenantBuckets    []tokenBucket
+	callsInFlight    int
+	inheritedCalls   map[uint64]*call // calls of another process by InFlightCall, kept within one step
+	messagesInFlight int              // messages that have not ended and have an attempt in flight
+	timerAt          Time             // when the requested timer fires
+	listAskedAt      Time
+	// cannotRecord is set while attempts cannot be recorded before they are sent.
+	cannotRecord     bool
+	rateShareDivisor float64 // divides the rate of a destination to give the share of this relay
+	maxWorth         float64 // highest worth of a class
+	rejectionFactor  float64 // multiplies a rate factor after a rejection
+	shedPasses       int     // passes of shed over all held messages so far
+	// nextDispatchScans counts the calls of nextDispatchAt, the costly part of a step; a test bounds it.
+	nextDispatchScans int
+	// noConnectionShare is the share of calls that found no connection, by kind of destination.
+	noConnectionShare []float64
+	latency           latencyEstimate // of all responses
+	destinationCache
+	sparseRejectShare float64 // share of rejections in the last calls to sparse limiters
+	// slotsExhaustedSince is when messages began to wait with every slot taken; 0 while they do not.
+	slotsExhaustedSince Time
 }
 
-// dest is a destination: a queue, and a lane for each thing that limits it.
-type dest struct {
-	id      int
-	kind    Kind
-	kindAt  int // its place in the settings
-	lanes   []*lane
-	queue   []*message
-	flying  int
-	touched bool
-	ready   bool // in Policy.ready
-	wakeAt  Time // next moment in wakes
-	wakes   Time // the last of them
-	toldAt  Time // when it was last logged why messages wait here
-	pass    int  // the look that doneAt was found in
-	doneAt  Time // when what waits now will have gone
-	pick    *message
-	pickAt  *endpoint
-	pickVal float64
-	heldDest
+// destination holds the queue of a destination and a limiter for each thing that limits it.
+type destination struct {
+	id           int
+	kind         DestKind
+	kindIndex    int // index of kind in Settings.Kinds
+	limiters     []*limiter
+	queue        []*message
+	inFlight     int // calls in flight
+	pending      bool
+	dispatchable bool // listed in Policy.dispatchable
+	nextWakeAt   Time // the next evaluation by timer
+	lastWakeAt   Time // the last evaluation by timer that is scheduled
+	loggedAt     Time // last log line of logWaitReasons
+	shedPass     int  // the pass of shed that set drainedAt
+	drainedAt    Time // estimate of when the current queue will have been sent
+	// picked is the message to send next, nil for none, with its endpoint and its priority.
+	picked         *message
+	pickedEndpoint *endpoint
+	pickedPriority float64
+	destinationUse
 }
 
-// lane is what one limit, one wait and one history bind: a destination, or a route where they are apart.
-type lane struct {
-	dest       *dest
-	eps        []*endpoint
-	hist       counter
-	window     float64
-	halvedAt   Time // last by a time-out
-	flying     int
-	waitUntil  Time // told to wait
-	pauseUntil Time // refused without a wait, or a draw was dropped
-	nominal    float64
-	limit      float64
-	boost      float64
-	tokens     bucket
-	bound      bool // the pace, not the traffic, decided when the last call went
-	fullRun    int
-	fullAt     Time // the first of the run
-	lat        latency
+// limiter holds the rate limit, the window, the waits and the call history that a destination shares, or one
+// route of a destination with separate limits.
+type limiter struct {
+	dest              *destination
+	endpoints         []*endpoint
+	history           rollingCounter
+	window            float64 // most calls in flight
+	halvedAt          Time    // last time that a timeout halved the window
+	inFlight          int     // calls in flight that count in the window
+	retryAfterUntil   Time    // end of the wait that an endpoint asked for (Retry-After)
+	backoffUntil      Time    // end of the backoff after a rejection or a throttled call
+	nominalRate       float64 // rate from the list, or an estimate made at the first rejection; 0 for unknown
+	reportedLimit     float64 // rate limit from a load report; 0 for unknown
+	rateFactor        float64 // factor on the send rate: rises after successes and falls after rejections
+	bucket            tokenBucket
+	rateLimited       bool // the send rate, not the traffic, delayed calls since the last call
+	rejectionRun      int  // rejections since the last success
+	rejectionRunStart Time // the first of them
+	latency           latencyEstimate
 }
 
-// endpoint is one address, with what this relay saw of its health.
+// endpoint is one address, with the health that this relay has observed.
 type endpoint struct {
-	id        Endpoint
-	zone      int
-	kind      int // by the list, as its rate
-	rate      float64
-	lane      *lane
-	state     Readiness
-	flying    int
-	last      *call // made to it last
-	conns     int
-	missed    int  // connections that did not come up since the last success
-	restUntil Time // failing, but not yet held to be out
-	idleAt    Time // end of the last call
-	watched   bool // a look at its idle connections is put off
-	score     float64
-	sick      bool
-	firstBad  Time
-	badAt     Time
-	goodAt    Time // first success since the last failure; 0 for none
-	goodSent  Time
-	okAt      Time
-	budget    bucket
-	need      float64 // what the next call takes out of the budget
-	mute      bool    // the last failure was a silence, not an answer
-	lat       latency
+	id               Endpoint
+	zone             int
+	kind             int // as listed
+	rate             float64
+	limiter          *limiter
+	state            EndpointState
+	inFlight         int   // calls in flight
+	lastCall         *call // the most recent call
+	connections      int   // estimate of the open connections
+	failedConnects   int   // failed connects since the last success
+	backoffUntil     Time  // backoff after a failure, before an ejection
+	idleSince        Time  // end of the last call
+	idleCheckPending bool  // a timer for closeIdle is pending
+	// failureScore is a moving average: 0 after successes, 1 after failures.
+	failureScore       float64
+	ejected            bool // considered down, or in the slow start after it
+	firstFailureAt     Time // first failure of the current run
+	lastFailureAt      Time // last failure
+	recoveredAt        Time // first success since the last failure, which starts the ramp; 0 for none
+	recoveryCallSentAt Time // send of the call that succeeded then
+	lastSuccessAt      Time
+	budget             tokenBucket // limits calls while ejected
+	nextCallCost       float64
+	silent             bool // the last failure was a missing response or connection, not an error response
+	latency            latencyEstimate
 }
 
-// message is held until it is ended, and known until its last attempt is over.
+// message is held until it has ended, and stays known until its last attempt is over.
 type message struct {
-	id       uint32
-	key      uint64
-	class    *Class
-	dest     *dest
-	aimAt    Time
-	deadline Time
-	worth    float64
-	loss     float64 // by waiting, when its destination was last looked at
-	over     bool
-	owed     bool // an earlier process took it on
-	place    int  // in Policy.live
-	tries    int
-	most     int       // attempts; 0 for no limit
-	doubtAt  Time      // send of the first attempt that may have run; 0 for none
-	doubtIn  int       // its zone
-	failedAt *endpoint // where its last attempt failed
-	call     *call
+	id             uint32
+	key            uint64
+	class          *Class
+	dest           *destination
+	targetAt       Time // delivered by then it earns its full worth
+	deadline       Time
+	worth          float64
+	waitLoss       float64 // worth lost by waiting, as of the last evaluation of its destination
+	ended          bool
+	inherited      bool // accepted by a predecessor process
+	index          int  // index in Policy.unfinished
+	attempts       int
+	maxAttempts    int       // limit of attempts; 0 for none
+	mayHaveRunAt   Time      // send of the first attempt that may have run; 0 for none
+	mayHaveRunZone int       // zone of that attempt
+	failedEndpoint *endpoint // endpoint of the last failed attempt
+	call           *call     // the call in flight; nil for none
 }
 
-// call is one call out, with the messages that share it.
+// call is one call in flight, with the messages that share it.
 type call struct {
-	ep    *endpoint
-	sent  Time
-	left  int
-	noted bool
-	late  bool // out of the window: longer out than calls there take
-	msgs  []*message
+	endpoint  *endpoint
+	sentAt    Time
+	remaining int  // messages without an outcome
+	observed  bool // its result has been learned
+	overdue   bool // in flight for longer than usual, and out of the window
+	messages  []*message
 }
 
-// line is the turn of one key in the classes that keep order.
-type line struct {
-	turns []*message
-	rest  Time
+// orderedKey holds the messages of one key in the classes that keep order.
+type orderedKey struct {
+	queue       []*message // in order of arrival
+	pausedUntil Time       // no first attempt of a message before then
 }
 
-func (p *Policy) act(a Action) { p.out = append(p.out, a) }
+func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
-// resume gives a message that an earlier process took on its past back. It may have nothing left but its end.
-func (p *Policy) resume(m *message, e *Event) {
-	if m.tries = e.Tries; m.tries > 0 {
-		p.later.add(p.now, func() { p.look(m) })
+// resumeAttempts restores the attempts that a predecessor process made for a message. If none is left to
+// it, the message ends at once.
+func (p *Policy) resumeAttempts(m *message, e *Event) {
+	if m.attempts = e.Attempts; m.attempts > 0 {
+		p.timers.add(p.now, func() { p.endIfDue(m) })
 	}
-	if e.DoubtAt > 0 {
-		p.doubt(m, e.DoubtAt, e.DoubtIn)
+	if e.MayHaveRunAt > 0 {
+		p.markMayHaveRun(m, e.MayHaveRunAt, e.MayHaveRunZone)
 	}
 }
 
-// doubt keeps the first attempt of a message that may have run; the message is looked at when its window
-// ends.
-func (p *Policy) doubt(m *message, sent Time, zone int) {
-	m.doubtAt, m.doubtIn = sent, zone
-	p.later.add(max(m.doubtAt+m.class.DedupWindow-2*p.set.Tick+1, p.now+1), func() { p.look(m) })
+// markMayHaveRun records the first attempt of a message that may have run. The message is checked again when
+// its deduplication window ends.
+func (p *Policy) markMayHaveRun(m *message, sentAt Time, zone int) {
+	m.mayHaveRunAt, m.mayHaveRunZone = sentAt, zone
+	p.timers.add(max(m.mayHaveRunAt+m.class.DedupWindow-2*p.settings.Tick+1, p.now+1),
+		func() { p.endIfDue(m) })
 }
 
-// logWaits tells, now and then, what messages that are handed back untried have waited for.
-func (p *Policy) logWaits(d *dest) {
-	if d.toldAt > 0 && p.now-d.toldAt < logEvery {
+// logWaitReasons logs, at most once in waitLogInterval, what messages that are handed back without an attempt
+// have waited for.
+func (p *Policy) logWaitReasons(d *destination) {
+	if d.loggedAt > 0 && p.now-d.loggedAt < waitLogInterval {
 		return
 	}
-	d.toldAt = p.now
-	for _, l := range d.lanes {
-		req, acc := l.hist.totals(p.now)
-		sick, resting := 0, 0
-		for _, ep := range l.eps {
-			if ep.sick {
-				sick++
-			} else if ep.restUntil > p.now {
-				resting++
+	d.loggedAt = p.now
+	for _, l := range d.limiters {
+		requests, accepts := l.history.totals(p.now)
+		ejected, backingOff := 0, 0
+		for _, ep := range l.endpoints {
+			if ep.ejected {
+				ejected++
+			} else if ep.backoffUntil > p.now {
+				backingOff++
 			}
 		}
-		p.logf("dest %d: waiting %d, out %d, window %.0f, slots out %d, requests %.0f, accepts %.0f, "+
-			"pace %.1f, tokens %.1f, limit %.1f, wait ms %d, pause ms %d, endpoints %d, sick %d, resting %d",
-			d.id, len(d.queue), l.flying, l.window, p.calls, req, acc, p.pace(l),
-			l.tokens.tokens, l.limit, max(l.waitUntil-p.now, 0)/1000,
-			max(l.pauseUntil-p.now, 0)/1000, len(l.eps), sick, resting)
+		p.logf("dest %d: waiting %d, in flight %d, window %.0f, slots used %d, requests %.0f, accepts %.0f, "+
+			"pace %.1f, tokens %.1f, limit %.1f, wait %dms, pause %dms, endpoints %d, ejected %d, resting %d",
+			d.id, len(d.queue), l.inFlight, l.window, p.callsInFlight, requests, accepts, p.sendRate(l),
+			l.bucket.tokens, l.reportedLimit, max(l.retryAfterUntil-p.now, 0)/1000,
+			max(l.backoffUntil-p.now, 0)/1000, len(l.endpoints), ejected, backingOff)
 	}
 }
 
-// logEvery is how often a destination's state is logged at most.
-const logEvery = Time(1e6)
+// waitLogInterval is the shortest time between two log lines of logWaitReasons for a destination.
+const waitLogInterval = Time(1e6)
 
 func (p *Policy) logf(format string, args ...any) {
-	p.act(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+	p.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
--- a/decide/step.go
+++ b/decide/step.go
@@ -2,70 +2,70 @@
 
 import "math"
 
-// Steps: events in, actions out, and the one timer that asks for the next step.
+// Steps: events in, actions out, and the single timer that triggers the next step.
 
-// Step takes what has happened by now and appends what to do about it.
+// Step handles the events that have happened by now and appends the resulting actions.
 func (p *Policy) Step(now Time, events []Event, actions []Action) []Action {
-	p.now, p.out = max(now, p.now), actions
-	if p.set.AskForList && (p.asked == 0 || p.now-p.asked >= p.set.AskEvery/2) {
-		p.asked = p.now
-		p.act(Action{Kind: ActWatch})
+	p.now, p.actions = max(now, p.now), actions
+	if p.settings.ListOnRequest && (p.listAskedAt == 0 || p.now-p.listAskedAt >= p.settings.ListMaxAge/2) {
+		p.listAskedAt = p.now
+		p.emit(Action{Kind: ActWatchList})
 	}
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case EvList:
-			p.members(e)
+			p.applyList(e)
 		case EvMessage:
 			p.admit(e)
 		case EvOutcome:
-			p.outcome(e)
-		case EvBegun, EvWithdraw:
-			m := p.msgs[e.Message]
-			if m != nil && (e.Kind == EvWithdraw || m.call != nil && e.Attempt == m.tries-1) {
-				p.finish(m)
+			p.handleOutcome(e)
+		case EvResponseStarted, EvWithdraw:
+			m := p.messages[e.Message]
+			if m != nil && (e.Kind == EvWithdraw || m.call != nil && e.Attempt == m.attempts-1) {
+				p.finishMessage(m)
 			}
 		case EvSettings:
-			if e.Settings.Validate() == nil { // whole or not at all
-				p.settle(*e.Settings)
+			if e.Settings.Validate() == nil { // invalid settings are ignored as a whole
+				p.applySettings(*e.Settings)
 			}
-		case EvMemory:
-			p.remember(e.Memory)
-		case EvRecords:
-			p.unrecorded = e.Unrecorded
-			p.touchWaiting()
+		case EvSnapshot:
+			p.restore(e.Snapshot)
+		case EvRecording:
+			p.cannotRecord = e.CannotRecord
+			p.markWaitingPending()
 		}
 	}
-	p.carried = nil // those of one call come in one step
-	p.expire()
+	p.inheritedCalls = nil // all messages of a call arrive in one step
+	p.runTimers()
 	p.shed()
 	p.dispatch()
-	p.tidy(2 + len(events))
-	p.arm()
-	out := p.out
-	p.out = nil
+	p.evictExpired(2 + len(events))
+	p.armTimer()
+	out := p.actions
+	p.actions = nil
 	return out
 }
 
-// expire does what was put off to this moment.
-func (p *Policy) expire() {
-	for f, ok := p.later.due(p.now); ok; f, ok = p.later.due(p.now) {
-		f()
+// runTimers runs the functions that are due.
+func (p *Policy) runTimers() {
+	for run, ok := p.timers.popDue(p.now); ok; run, ok = p.timers.popDue(p.now) {
+		run()
 	}
 }
 
-// arm asks for one timer at the next moment at which something may change by itself.
-func (p *Policy) arm() {
-	next := p.later.next()
-	if p.set.AskForList {
-		next = min(next, p.asked+max(p.set.AskEvery/2, second))
+// armTimer requests one timer for the next moment at which time alone may change something.
+func (p *Policy) armTimer() {
+	next := p.timers.nextAt()
+	if p.settings.ListOnRequest {
+		next = min(next, p.listAskedAt+max(p.settings.ListMaxAge/2, second))
 	}
-	if next == math.MaxInt64 || p.armed > p.now && p.armed <= next {
+	if next == math.MaxInt64 || p.timerAt > p.now && p.timerAt <= next {
 		return
 	}
-	p.armed = max(next, p.now+p.set.Tick)
-	p.act(Action{Kind: ActTimer, After: p.armed - p.now})
+	p.timerAt = max(next, p.now+p.settings.Tick)
+	p.emit(Action{Kind: ActTimer, After: p.timerAt - p.now})
 }
 
-// margin is how long before its deadline a message is ended: the timer may be late by some ticks.
-func (p *Policy) margin() Time { return 3 * p.set.Tick }
+// deadlineMargin returns how long before its deadline a message is ended: the timer may be some ticks late.
+func (p *Policy) deadlineMargin() Time { return 3 * p.settings.Tick }
--- a/decide/throttle.go
+++ b/decide/throttle.go
@@ -1,50 +1,62 @@
 package decide
 
-// Adaptive throttling: calls dropped here, by the requests and accepts of a destination's recent history.
+// Adaptive throttling: calls are dropped before they are sent, by the recent requests and accepts of a
+// destination. The drop probability is max(0, (requests - K*accepts) / (requests + 1)).
 
 const (
-	historySpan = 10 * second // in microseconds: requests and accepts are counted over this
-	historyBins = 20          // parts of that span
-	accepts     = 2.0         // K of the formula
-	prior       = 2.0         // accepts that a destination has to its credit: a few calls tell nothing
-	dropCap     = 0.9         // P1: some attempts always pass
-	// The same over the last calls to all lanes that are sparse: K, and how many calls make up their history.
-	strainAccepts = 1.0
-	strainCalls   = 8
-	sampleLeast   = 0.1 // part of all calls that a relay must see to learn from its own how others fare
+	// historySpan is the time over which requests and accepts are counted.
+	historySpan = 10 * second
+	// historyBins is the number of bins in that time.
+	historyBins = 20
+	// throttleMultiplier is the multiplier K of the formula.
+	throttleMultiplier = 2.0
+	// priorAccepts is added to the accepts, so that a few calls alone do not cause drops.
+	priorAccepts = 2.0
+	// maxDropProbability is the highest drop probability, so that some calls always pass.
+	maxDropProbability = 0.9
+	// sparseMultiplier is the multiplier K for the last calls to all sparse limiters.
+	sparseMultiplier = 1.0
+	// sparseSampleCalls is the number of these calls over which their history is averaged.
+	sparseSampleCalls = 8
+	// minCallShare is the share of all calls from which on a relay's own calls show the state of a
+	// destination.
+	minCallShare = 0.1
 )
 
-// dropped draws by the formula. A drop is counted and spends the lane's token; the message stays held for a
-// later draw.
-func (p *Policy) dropped(l *lane) bool {
-	chance := p.chance(l)
-	l.hist.request(p.now)
-	return p.rng.Float64() < chance
+// throttled draws whether to drop the next call. A dropped call counts as a request and uses the limiter's
+// token; the message stays in the queue.
+func (p *Policy) throttled(l *limiter) bool {
+	probability := p.dropProbability(l)
+	l.history.addRequest(p.now)
+	return p.rng.Float64() < probability
 }
 
-// chance is that of a drop. Calls still out speak neither for nor against: counted at once they would drop
-// the next arrivals of a destination that has been quiet for longer than the history.
-func (p *Policy) chance(l *lane) float64 {
-	req, acc := l.hist.totals(p.now)
-	return dropChance(max(0, req-float64(l.flying)), acc)
+// dropProbability returns the drop probability of the next call. Calls in flight do not count as requests
+// yet: otherwise the first calls to a destination that has been idle for longer than the history would
+// cause drops.
+func (p *Policy) dropProbability(l *limiter) float64 {
+	requests, accepted := l.history.totals(p.now)
+	return throttleProbability(max(0, requests-float64(l.inFlight)), accepted)
 }
 
-// dropChance is the formula, with the cap that always lets some attempts pass.
-func dropChance(requests, accepted float64) float64 {
-	return min(max(0, (requests-accepts*(accepted+prior))/(requests+1)), dropCap)
+// throttleProbability is the throttling formula with its cap.
+func throttleProbability(requests, accepted float64) float64 {
+	return min(max(0, (requests-throttleMultiplier*(accepted+priorAccepts))/(requests+1)), maxDropProbability)
 }
 
-// sparse: this relay sees next to nothing of what a lane does with the calls of all: few of them are its own,
-// and those come less than once in an aim.
-func (p *Policy) sparse(l *lane) bool {
-	return float64(p.set.Relays)*sampleLeast > 1 &&
-		p.part(l)*float64(p.set.Classes[0].Aim) < float64(second)
+// sparse reports whether this relay makes only a small share of the calls to a limiter, and those less
+// often than once in the target time, so that its own calls say little about the limiter's load.
+func (p *Policy) sparse(l *limiter) bool {
+	return float64(p.settings.Relays)*minCallShare > 1 &&
+		p.evenShare(l)*float64(p.settings.Classes[0].TargetTime) < float64(second)
 }
 
-// strained draws by the formula over the last calls to all lanes of which this relay sees next to nothing.
-// Its history of one of them is empty most of the time, but what strains one, more than all take, lower
-// limits, many relays that come back at once, strains most. A refused call may use up as much of a limit as
-// one that is taken, so K is one. Harm: a call to one that has room may wait for up to a turn.
-func (p *Policy) strained(l *lane) bool {
-	return p.sparse(l) && p.rng.Float64() < min(1-strainAccepts*(1-p.strain), dropCap)
+// sparseThrottled draws by the formula over the last calls to all sparse limiters. The history of a single
+// one is mostly empty, but what overloads one (traffic beyond the capacity, lowered limits, many relays
+// that restart at once) overloads most of them. A rejected call may use as much of a rate limit as an
+// accepted one, so K is one. The cost is that a call to a destination with free capacity may wait for up to
+// one round.
+func (p *Policy) sparseThrottled(l *limiter) bool {
+	return p.sparse(l) &&
+		p.rng.Float64() < min(1-sparseMultiplier*(1-p.sparseRejectShare), maxDropProbability)
 }
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -56,7 +56,7 @@
 
 func (c *checker) route(e Endpoint) string {
 	x := c.eps[e]
-	if c.set.Kinds[x.Kind].Apart {
+	if c.set.Kinds[x.Kind].SeparateLimits {
 		return fmt.Sprintf("e%d", e)
 	}
 	return fmt.Sprintf("d%d", x.Dest)
@@ -86,7 +86,7 @@
 }
 
 func (c *checker) arrive(now Time, e Event, seq int) {
-	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.Left}
+	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.TimeLeft}
 	c.msgs[e.Message] = m
 	if c.set.Classes[e.Class].InOrder && e.Key != 0 {
 		c.order[e.Key] = append(c.order[e.Key], e.Message)
@@ -109,11 +109,11 @@
 		m.firstDoubt = 0
 	}
 	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled {
-		c.rest[m.key] = max(c.rest[m.key], now+c.set.KeyRest)
+		c.rest[m.key] = max(c.rest[m.key], now+c.set.OrderedKeyPause)
 	}
-	if e.Outcome == Full && e.Wait > 0 {
+	if e.Outcome == Rejected && e.RetryAfter > 0 {
 		r := c.route(e.Endpoint)
-		c.waits[r] = max(c.waits[r], now+e.Wait)
+		c.waits[r] = max(c.waits[r], now+e.RetryAfter)
 	}
 }
 
@@ -133,7 +133,7 @@
 			c.fault(now, "two attempts of %d at once", a.Message)
 		case !known || x.Dest != m.dest:
 			c.fault(now, "send of %d to an endpoint of another destination", a.Message)
-		case a.At > m.deadline:
+		case a.TimeoutAt > m.deadline:
 			c.fault(now, "attempt of %d outlives its deadline", a.Message)
 		case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
 			c.fault(now, "attempt %d of %d", m.tries, a.Message)
@@ -145,14 +145,14 @@
 			c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
 		}
 		cl := &c.set.Classes[m.class]
-		if m.doubt && cl.Repeat == Unsafe {
+		if m.doubt && cl.Idempotency == NonIdempotent {
 			c.fault(now, "unsafe %d sent again", a.Message)
 		}
-		if m.doubt && cl.Repeat == Keyed {
+		if m.doubt && cl.Idempotency == Deduplicated {
 			if now > m.firstDoubt+cl.DedupWindow {
 				c.fault(now, "keyed %d sent outside its window", a.Message)
 			}
-			if cl.ZoneOnly && x.Zone != m.zone {
+			if cl.DedupByZone && x.Zone != m.zone {
 				c.fault(now, "keyed %d left its zone", a.Message)
 			}
 		}
@@ -172,7 +172,7 @@
 		}
 		m.tries++
 		m.out, m.at = true, a.Endpoint
-		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.At})
+		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.TimeoutAt})
 	case ActRefuse, ActFail:
 		if m == nil || m.done {
 			c.fault(now, "second answer for %d", a.Message)
@@ -189,7 +189,7 @@
 		c.refused++
 		cl := &c.set.Classes[m.class]
 		open := m.doubt || m.out
-		if open && (cl.Repeat == Unsafe || cl.Repeat == Keyed && cl.ZoneOnly) {
+		if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == Deduplicated && cl.DedupByZone) {
 			c.fault(now, "refused %d which may have run", a.Message)
 		}
 	case ActTimer:
@@ -221,7 +221,7 @@
 func maxBatch(s Settings) int {
 	b := 1
 	for _, k := range s.Kinds {
-		b = max(b, k.Batch)
+		b = max(b, k.MaxBatch)
 	}
 	return b
 }
@@ -229,20 +229,20 @@
 // testSettings draws legal settings; every kind of class is among them.
 func testSettings(r *rand.Rand) Settings {
 	s := Settings{Relays: 1 + r.IntN(4), Slots: 1 + r.IntN(12), MaxHeld: r.IntN(80), MaxAttempts: r.IntN(9),
-		Halving: r.IntN(2) == 0, OverShareWorth: 0.2, RatesListed: r.IntN(2) == 0, Probes: r.IntN(2) == 0,
-		Cancels: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
+		WorthHalves: r.IntN(2) == 0, OverShareWorth: 0.2, RatesListed: r.IntN(2) == 0, MayProbe: r.IntN(2) == 0,
+		MayCancel: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
 		ConnectTimeout: second, Tick: 5000, AnswerSlack: 20000, DrainGrace: 0, StartCapacity: 0.2,
-		RampTime: 8 * second, OverloadFactor: 2, FallTime: 3 * second, KeyRest: second / 2,
-		Kinds:   []Kind{{Batch: 1 + r.IntN(4)}, {Apart: true, Batch: 1}},
+		RampTime: 8 * second, OverloadFactor: 2, OverloadTime: 3 * second, OrderedKeyPause: second / 2,
+		Kinds:   []DestKind{{MaxBatch: 1 + r.IntN(4)}, {SeparateLimits: true, MaxBatch: 1}},
 		Tenants: []Tenant{{Name: "a", Quota: 3}, {Name: "b"}},
 		Classes: []Class{
-			{Name: "safe", Aim: second, Deadline: 6 * second, Worth: 1, LateWorth: 0.2},
-			{Name: "keyed", Aim: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Repeat: Keyed,
+			{Name: "safe", TargetTime: second, Deadline: 6 * second, Worth: 1, LateWorth: 0.2},
+			{Name: "keyed", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Idempotency: Deduplicated,
 				DedupWindow: 3 * second / 2},
-			{Name: "zoned", Aim: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Repeat: Keyed,
-				DedupWindow: 3 * second, ZoneOnly: true},
-			{Name: "unsafe", Aim: 2 * second, Deadline: 7 * second, Worth: 3, LateWorth: 0.3, Repeat: Unsafe},
-			{Name: "ordered", Aim: second, Deadline: 8 * second, Worth: 1, LateWorth: 0.3, InOrder: true},
+			{Name: "zoned", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Idempotency: Deduplicated,
+				DedupWindow: 3 * second, DedupByZone: true},
+			{Name: "unsafe", TargetTime: 2 * second, Deadline: 7 * second, Worth: 3, LateWorth: 0.3, Idempotency: NonIdempotent},
+			{Name: "ordered", TargetTime: second, Deadline: 8 * second, Worth: 1, LateWorth: 0.3, InOrder: true},
 		}}
 	return s
 }
@@ -293,13 +293,13 @@
 		if r.IntN(30) == 0 {
 			i := r.IntN(len(entries))
 			entries = append([]Entry(nil), entries...)
-			entries[i].State = Readiness(r.IntN(3))
-			e := Event{Kind: EvList, List: ListChange, Entries: entries[i : i+1]}
+			entries[i].State = EndpointState(r.IntN(3))
+			e := Event{Kind: EvList, List: ListDelta, Entries: entries[i : i+1]}
 			switch r.IntN(4) {
 			case 0:
 				e = Event{Kind: EvList, List: ListFull}
 				for _, x := range entries {
-					if x.State != Gone {
+					if x.State != Removed {
 						e.Entries = append(e.Entries, x)
 					}
 				}
@@ -313,14 +313,14 @@
 			events = append(events, e)
 		}
 		if r.IntN(40) == 0 {
-			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, NoConnect, Full, Delivered}[r.IntN(5)]
+			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
 		}
 		for range r.IntN(4) {
 			e := Event{Kind: EvMessage, Message: next, Class: r.IntN(len(set.Classes)), Dest: r.IntN(5), Tenant: r.IntN(3)}
 			if set.Classes[e.Class].InOrder {
 				e.Key = uint64(r.IntN(3))
 			}
-			e.Left = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
+			e.TimeLeft = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
 			seq++
 			next++
 			c.arrive(now, e, seq)
@@ -332,21 +332,21 @@
 				still = append(still, f)
 				continue
 			}
-			e := Event{Kind: EvOutcome, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Took: second / 5}
+			e := Event{Kind: EvOutcome, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Duration: second / 5}
 			switch {
 			case f.cut <= now:
 				e.Outcome = TimedOut
 			case r.IntN(5) == 0:
-				e.Outcome = Outcome(r.IntN(int(numOutcome)))
+				e.Outcome = Outcome(r.IntN(int(outcomeCount)))
 			default:
 				e.Outcome = bad[c.msgs[f.msg].dest]
 			}
-			if e.Outcome == Full && r.IntN(2) == 0 {
-				e.Wait = Time(r.Int64N(int64(3 * second)))
+			if e.Outcome == Rejected && r.IntN(2) == 0 {
+				e.RetryAfter = Time(r.Int64N(int64(3 * second)))
 			}
-			e.Settled = c.msgs[f.msg].done || e.Outcome == Delivered
+			e.Final = c.msgs[f.msg].done || e.Outcome == Delivered
 			if r.IntN(2) == 0 {
-				e.Load = Load{Left: r.Float64(), Limit: 10 * r.Float64()}
+				e.Load = Load{Remaining: r.Float64(), Limit: 10 * r.Float64()}
 			}
 			c.resolved(now, e)
 			events = append(events, e)
@@ -356,7 +356,7 @@
 		}
 		c.flights = still
 		for _, ep := range c.probes {
-			events = append(events, Event{Kind: EvProbed, Endpoint: ep, Outcome: Outcome(r.IntN(int(numOutcome)))})
+			events = append(events, Event{Kind: EvProbeResult, Endpoint: ep, Outcome: Outcome(r.IntN(int(outcomeCount)))})
 		}
 		c.probes = nil
 		if r.IntN(50) == 0 && next > 1 {
@@ -390,7 +390,7 @@
 	return then
 }
 
-func (c *checker) stateOf(e Endpoint) Readiness {
+func (c *checker) stateOf(e Endpoint) EndpointState {
 	if _, bad := c.badSince[e]; bad {
 		return Draining
 	}
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -129,7 +129,7 @@
 		wait       decide.Time
 	}{
 		"each its own": {ok, `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`, decide.Errored,
-			both(ending{decide.Delivered, true}, ending{decide.Full, false}), 0},
+			both(ending{decide.Delivered, true}, ending{decide.Rejected, false}), 0},
 		"over, used up": {ok, `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"}]`, decide.Errored,
 			both(ending{decide.NotSent, true}, ending{decide.NotSent, false}), 0},
 		"with a wait": {ok + "Retry-After: 0.5\r\n", `[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
@@ -140,8 +140,8 @@
 		"no such state":   {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
 		"not the form":    {ok, `accepted`, decide.Errored, nil, 0},
 		"bad wait":        {ok + "Retry-After: soon\r\n", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
-		"told to wait":    {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Full, nil, 750000},
-		"full":            {"HTTP/1.1 503 F\r\n", "", decide.Full, nil, 0},
+		"told to wait":    {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Rejected, nil, 750000},
+		"full":            {"HTTP/1.1 503 F\r\n", "", decide.Rejected, nil, 0},
 		"error":           {"HTTP/1.1 500 E\r\n", "", decide.Errored, nil, 0},
 		"too many":        {"HTTP/1.1 413 M\r\n", "", decide.NotSent, nil, 0},
 		"unreadable":      {"HTTP/1.1 400 B\r\n", "", decide.NotSent, nil, 0},
@@ -209,7 +209,7 @@
 		if id == "short" {
 			at = r.now() + 1500000 // long enough for the call to be written first
 		}
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, At: at})
+		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, TimeoutAt: at})
 		msgs = append(msgs, m)
 	}
 	if len(r.forming) != 1 {
@@ -267,7 +267,7 @@
 		q := &request{rec: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
 		m := r.newMessage(q.rec)
 		r.waiting[q] = m
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
+		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, TimeoutAt: at})
 		qs = append(qs, q)
 	}
 	c := r.forming[0]
@@ -309,7 +309,7 @@
 	}))
 	told := make(chan outcome, 1)
 	newTestCall().run(h, append(testPart("a"), testPart("b")...), nil, func(_ *message, o outcome) { told <- o })
-	if o := <-told; o.err != nil || o.ends["a"].what != decide.Delivered || o.ends["b"].what != decide.Full {
+	if o := <-told; o.err != nil || o.ends["a"].what != decide.Delivered || o.ends["b"].what != decide.Rejected {
 		t.Errorf("got %+v", o)
 	}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -266,7 +266,7 @@
 	}
 	// On sockets a connection carries one call at a time, whatever the
 	// simulator's connections carry.
-	c.Policy.Streams = 1
+	c.Policy.StreamsPerConn = 1
 	var names struct {
 		Localities []string `json:"localities"`
 	}
@@ -351,4 +351,6 @@
 	return free - endpoints, endpoints
 }
 
-func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == decide.Keyed }
+func (c *Config) keyed(class int) bool {
+	return c.Policy.Classes[class].Idempotency == decide.Deduplicated
+}
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -42,7 +42,7 @@
 		})
 	}
 	c, err := loadConfig(strings.NewReader(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
-	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.Slots != 16 || c.Policy.Streams != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
+	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.Slots != 16 || c.Policy.StreamsPerConn != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
 	clients, endpoints := c.budget()
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -360,8 +360,8 @@
 		again.settle()
 		after.restore([]*record{again}, nil)
 		e := after.events[len(after.events)-1]
-		if e.DoubtIn != in || e.Tenant != 1 || e.Rules.Name != "keyed" || *e.Rules != keyed || e.Most != 3 || e.Tries != 1 || e.DoubtAt == 0 {
-			t.Errorf("floors %s: %+v, rules %+v", floors, e, e.Rules)
+		if e.MayHaveRunZone != in || e.Tenant != 1 || e.OriginalClass.Name != "keyed" || *e.OriginalClass != keyed || e.OriginalMaxAttempts != 3 || e.Attempts != 1 || e.MayHaveRunAt == 0 {
+			t.Errorf("floors %s: %+v, rules %+v", floors, e, e.OriginalClass)
 		}
 	}
 }
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -39,5 +39,5 @@
 	if isLocal(err) || isTransient(err) {
 		return decide.NotSent
 	}
-	return decide.NoConnect
+	return decide.ConnectFailed
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -62,7 +62,7 @@
 // them would hang or be reset under a call that may then have run.
 func (ep *endpoint) suspect(o *outcome, now decide.Time) bool {
 	switch o.what {
-	case decide.NoConnect:
+	case decide.ConnectFailed:
 		return true
 	case decide.Reset: // one connection that broke, where the endpoint goes on answering on others
 		return ep.answerAt < now-aliveWait
@@ -468,7 +468,7 @@
 	}
 	// An endpoint that has no place for another connection says so on it and ends it,
 	// and has no report of what it could take.
-	o.crowded = o.what == decide.Full && status == http.StatusServiceUnavailable && resp.Close && conn.calls == 0 &&
+	o.crowded = o.what == decide.Rejected && status == http.StatusServiceUnavailable && resp.Close && conn.calls == 0 &&
 		resp.Header.Get("X-Server-Load") == "" && o.wait == 0
 	tell(o)
 	return o.err == nil && !resp.Close
@@ -505,9 +505,9 @@
 		if err != nil {
 			return err
 		}
-		o.what, o.wait = decide.Full, wait
+		o.what, o.wait = decide.Rejected, wait
 	case http.StatusServiceUnavailable:
-		if o.what = decide.Full; head.Get("Slots-Taken") == "1" {
+		if o.what = decide.Rejected; head.Get("Slots-Taken") == "1" {
 			o.what, o.slots = decide.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
@@ -524,7 +524,7 @@
 var batchEnds = map[string]ending{
 	"accepted": {decide.Delivered, true},
 	"fault":    {decide.Errored, false},
-	"deferred": {decide.Full, false},
+	"deferred": {decide.Rejected, false},
 	"expired":  {decide.NotSent, true},
 	"no_more":  {decide.NotSent, false},
 }
@@ -590,7 +590,7 @@
 		}
 		switch name {
 		case "x0":
-			l.Left = v
+			l.Remaining = v
 		case "x1":
 			l.Limit = v
 		}
@@ -622,7 +622,7 @@
 			o.what = notConnected(err)
 			return err
 		}
-		o.what = decide.NoConnect
+		o.what = decide.ConnectFailed
 		conn.left = answerMost
 		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
 		keep := false
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -123,8 +123,8 @@
 		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
 		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
 		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected, wait: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected},
 		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
 		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
 		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
@@ -155,7 +155,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().made(t, p.home(refused), &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, p.home(refused), &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -255,7 +255,7 @@
 func TestToldWaitStopsWaitingCalls(t *testing.T) {
 	for _, apart := range []bool{true, false} {
 		r := testRelay(t)
-		r.cfg.Policy.Kinds = []decide.Kind{{Apart: apart, Batch: 1}}
+		r.cfg.Policy.Kinds = []decide.DestKind{{SeparateLimits: apart, MaxBatch: 1}}
 		r.cfg.kinds = map[string]int{"k": 0}
 		l := &List{Complete: true}
 		for i, cell := range []int{1, 1, 2} {
@@ -275,7 +275,7 @@
 		under.ep.calls[under] = true
 		told := newTestCall()
 		told.ep = calls[0].ep
-		r.returned(told, nil, &outcome{what: decide.Full, wait: 700e3})
+		r.returned(told, nil, &outcome{what: decide.Rejected, wait: 700e3})
 		for i, stopped := range []bool{true, !apart, false} {
 			if got := calls[i].stage.Load() == callStopped; got != stopped || got != (calls[i].ctx.Err() != nil) {
 				t.Errorf("apart %v: call to endpoint %d stopped: %v, want %v", apart, i, got, stopped)
@@ -304,8 +304,8 @@
 		{outcome{what: decide.TimedOut, took: 500}, 2000, true},
 		{outcome{what: decide.Reset}, 2100, false}, // 1000 was answered: one connection broke
 		{outcome{what: decide.Reset}, 1000 + aliveWait + 1, true},
-		{outcome{what: decide.NoConnect}, 2200, true},
-		{outcome{what: decide.Full, status: 503}, 2300, false},
+		{outcome{what: decide.ConnectFailed}, 2200, true},
+		{outcome{what: decide.Rejected, status: 503}, 2300, false},
 		{outcome{what: decide.Cancelled, took: 50}, 2320, false},
 	} {
 		if got := ep.suspect(&x.o, x.now); got != x.want {
@@ -367,7 +367,7 @@
 
 func TestReadLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
 		if got := readLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
@@ -385,7 +385,7 @@
 		parts []string
 		want  decide.Load
 	}{
-		"at once":  {[]string{first + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
+		"at once":  {[]string{first + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Remaining: 0.4, Limit: 25}},
 		"none":     {[]string{first + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
 		"cut":      {[]string{first + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
 		"nonsense": {[]string{first + "x1=25\r\n\r\n"}, decide.Load{}},
@@ -414,7 +414,7 @@
 }
 
 func TestProbe(t *testing.T) {
-	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Full, 404: decide.Errored} {
+	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Errored} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := probe(context.Background(), testPool(t).home(ep.addr())); o.what != want {
 			t.Errorf("%d: %+v", code, o)
--- a/internal/relay/faulty_call_test.go
+++ b/internal/relay/faulty_call_test.go
@@ -58,7 +58,7 @@
 			}
 			before := calls.Load()
 			o := newTestCall().made(t, h, rec, testLimit)
-			if o.what != decide.NoConnect || calls.Load() != before {
+			if o.what != decide.ConnectFailed || calls.Load() != before {
 				t.Errorf("byte %d of each, %v: %d calls, %+v", at, errno, calls.Load()-before, o)
 			}
 		}
@@ -197,7 +197,7 @@
 				x(faulty)
 				return faulty, nil
 			}
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.Full || o.wait != 1500000 {
+			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.Rejected || o.wait != 1500000 {
 				t.Errorf("got %+v", o)
 			}
 		})
--- a/internal/relay/faulty_dial_test.go
+++ b/internal/relay/faulty_dial_test.go
@@ -73,10 +73,10 @@
 			h := testPool(t).home("127.0.0.1:1")
 			dials := &schedule{calls: 1 << 30, errno: errno}
 			h.dial = failingDial(h.dial, dials)
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NoConnect || dials.count() != 1 {
+			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed || dials.count() != 1 {
 				t.Errorf("%d dials, got %+v", dials.count(), o)
 			}
-			if o := probe(context.Background(), h); o.what != decide.NoConnect {
+			if o := probe(context.Background(), h); o.what != decide.ConnectFailed {
 				t.Errorf("a probe: %+v", o)
 			}
 		})
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -28,7 +28,7 @@
 			m := r.newMessage(q.rec)
 			r.waiting[q] = m
 			r.replyWritten(q, true)
-			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
+			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, TimeoutAt: r.now() + 1e9})
 			c := r.forming[0]
 			r.gathered()
 			r.returned(c, nil, &outcome{what: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -119,7 +119,7 @@
 	if o.wait < 0 || o.wait > longestWait.Microseconds() {
 		t.Errorf("told to wait %d us", o.wait)
 	}
-	if o.load.Left < 0 || o.load.Left > loadMost || o.load.Limit < 0 || o.load.Limit > loadMost {
+	if o.load.Remaining < 0 || o.load.Remaining > loadMost || o.load.Limit < 0 || o.load.Limit > loadMost {
 		t.Errorf("load %+v", o.load)
 	}
 	if o.status != 0 && o.status != status {
@@ -134,7 +134,7 @@
 	if o.slots && (o.what != decide.NotSent || status != http.StatusServiceUnavailable) {
 		t.Errorf("slots are taken, outcome %d, status %d", o.what, status)
 	}
-	if o.crowded && (o.what != decide.Full || o.wait != 0) {
+	if o.crowded && (o.what != decide.Rejected || o.wait != 0) {
 		t.Errorf("crowded, outcome %d, wait %d", o.what, o.wait)
 	}
 	if (o.spoilt || o.err != nil) && o.what.NeverRan() {
@@ -144,7 +144,7 @@
 		t.Errorf("outcome %d of an answer that is not whole", o.what)
 	}
 	switch o.what {
-	case decide.Delivered, decide.Errored, decide.Full, decide.NotSent, decide.Reset:
+	case decide.Delivered, decide.Errored, decide.Rejected, decide.NotSent, decide.Reset:
 	default:
 		t.Errorf("outcome %d", o.what)
 	}
@@ -255,7 +255,7 @@
 			if id != "a" && id != "b" {
 				t.Errorf("an end of message %q", id)
 			}
-			if !slices.ContainsFunc([]ending{{decide.Delivered, true}, {decide.Errored, false}, {decide.Full, false},
+			if !slices.ContainsFunc([]ending{{decide.Delivered, true}, {decide.Errored, false}, {decide.Rejected, false},
 				{decide.NotSent, true}, {decide.NotSent, false}}, func(legal ending) bool { return legal == end }) {
 				t.Errorf("message %s ends as %+v", id, end)
 			}
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -214,7 +214,7 @@
 // FuzzHandLines: what a process says of its own lines is read by the other one as it was
 // said, and bytes that are no line end the conversation with no harm.
 func FuzzHandLines(f *testing.F) {
-	f.Add("m-1", int64(7), uint8(decide.Full), true, []byte("body"), []byte(`{"take":tr`))
+	f.Add("m-1", int64(7), uint8(decide.Rejected), true, []byte("body"), []byte(`{"take":tr`))
 	f.Add("\x00\xff", int64(-1), uint8(255), false, []byte{}, []byte("null"))
 	f.Fuzz(func(t *testing.T, id string, span int64, what uint8, flag bool, body, behind []byte) {
 		id = strings.ToValidUTF8(id, "?") // JSON has no other texts
@@ -254,7 +254,7 @@
 	if r.calls != 1 {
 		t.Fatalf("%d calls are out, want 1", r.calls)
 	}
-	r.fromPredecessor(&handoverMessage{Outcome: &handOutcome{ID: "m-1", What: decide.Full, Wait: 5e6}})
+	r.fromPredecessor(&handoverMessage{Outcome: &handOutcome{ID: "m-1", What: decide.Rejected, Wait: 5e6}})
 	if r.calls != 0 || listed.waitUntil != 0 {
 		t.Errorf("%d calls are out, the listed endpoint waits until %d", r.calls, listed.waitUntil)
 	}
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -24,7 +24,7 @@
 		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: membership.NewDirectory(0),
 		pool: newPool(manual, time.Second, time.Second, 8)}
-	policy.Use(r)
+	policy.UseDirectory(r)
 	return r
 }
 
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -61,7 +61,7 @@
 type handoverState struct {
 	Log    string                     `json:"log"` // its file's name
 	Names  map[decide.Endpoint]string `json:"names"`
-	Memory *decide.Memory             `json:"memory"`
+	Memory *decide.Snapshot           `json:"memory"`
 	Waits  map[string]decide.Time     `json:"waits"` // told by endpoints, and not over
 	Calls  []outCall                  `json:"calls"`
 }
@@ -295,9 +295,9 @@
 					l.Dest = at.Dest // which an older process does not say
 				}
 			}
-			l.Endpoints = slices.DeleteFunc(l.Endpoints, func(x decide.EndpointMemory) bool { return x.Endpoint == 0 })
+			l.Endpoints = slices.DeleteFunc(l.Endpoints, func(x decide.EndpointSnapshot) bool { return x.Endpoint == 0 })
 		}
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: e.Memory})
+		r.events = append(r.events, decide.Event{Kind: decide.EvSnapshot, Snapshot: e.Memory})
 	}
 	for id, until := range e.Waits {
 		if x, ok := r.directory.Find(id); ok {
@@ -542,7 +542,7 @@
 
 // handoverState tells what is in no log.
 func (r *Relay) handoverState() *handoverState {
-	e := &handoverState{Log: filepath.Base(r.wal.path), Names: map[decide.Endpoint]string{}, Memory: r.policy.Memory(),
+	e := &handoverState{Log: filepath.Base(r.wal.path), Names: map[decide.Endpoint]string{}, Memory: r.policy.Snapshot(),
 		Waits: map[string]decide.Time{}}
 	for _, l := range e.Memory.Lanes {
 		for _, x := range l.Endpoints {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -63,7 +63,7 @@
 func (m *message) repeatBy() clock.Instant {
 	c := m.rec.Rules
 	switch {
-	case m.doubt.IsZero() || c == nil || c.Repeat != decide.Keyed:
+	case m.doubt.IsZero() || c == nil || c.Idempotency != decide.Deduplicated:
 		return 0
 	case m.windowUnknown:
 		return 1
@@ -144,7 +144,7 @@
 	handedOver     bool  // it has taken over
 	sharing        bool  // another process runs beside this one
 	untried        untried
-	outages        map[string]decide.OutageMemory // found by this start, of endpoints that no list has named yet
+	outages        map[string]decide.OutageSnapshot // found by this start, of endpoints that no list has named yet
 	reload         Reload
 	ctx            context.Context
 
@@ -192,7 +192,7 @@
 	if r.directory == nil {
 		r.directory = membership.NewDirectory(directoryLimit(&cfg.Limits))
 	}
-	policy.Use(r)
+	policy.UseDirectory(r)
 	r.pool = newPool(clk, 0, 0, 0)
 	go r.pool.run(ctx)
 	r.clients = newClients(cfg, clk, log, func(q *request) { r.in.put(event{submitted: q}) },
@@ -335,11 +335,11 @@
 				continue
 			}
 		}
-		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1, Rules: rec.Rules, Most: rec.Most,
-			Left: r.policyTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
+		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1, OriginalClass: rec.Rules, OriginalMaxAttempts: rec.Most,
+			TimeLeft: r.policyTime(rec.Deadline) - r.now(), Attempts: rec.Tries, MayHaveRunZone: rec.DoubtIn}
 		if rec.DoubtZone != "" {
-			if e.DoubtIn = place(r.cfg.zones, rec.DoubtZone); e.DoubtIn < 0 {
-				e.DoubtIn-- // a zone that is no more, and that of no endpoint
+			if e.MayHaveRunZone = place(r.cfg.zones, rec.DoubtZone); e.MayHaveRunZone < 0 {
+				e.MayHaveRunZone-- // a zone that is no more, and that of no endpoint
 			}
 		}
 		r.directory.Name(rec.Dest) // once, or it would not have been taken on
@@ -347,9 +347,9 @@
 			e.Tenant = t
 		}
 		if rec.Doubt != 0 {
-			e.DoubtAt = r.policyTime(rec.Doubt)
+			e.MayHaveRunAt = r.policyTime(rec.Doubt)
 			if rec.WindowUnknown {
-				e.DoubtAt = windowClosed(rec.Rules, r.now())
+				e.MayHaveRunAt = windowClosed(rec.Rules, r.now())
 			}
 		}
 		if c := out[rec.ID]; c != nil {
@@ -361,13 +361,13 @@
 				r.lastCall++
 				c.num = r.lastCall
 			}
-			e.OutOn, e.OutAt, e.Call = c.ep.num, r.policyTime(rec.Out), c.num
+			e.InFlightEndpoint, e.InFlightSince, e.InFlightCall = c.ep.num, r.policyTime(rec.Out), c.num
 		} else if m.recoveredUntried = rec.Tries == 0; m.recoveredUntried {
 			r.untried.found++
 		}
 		r.events = append(r.events, e)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
-			"may_have_run", rec.Doubt != 0, "out", m.call != nil, "left", time.Duration(e.Left)*time.Microsecond)
+			"may_have_run", rec.Doubt != 0, "out", m.call != nil, "left", time.Duration(e.TimeLeft)*time.Microsecond)
 	}
 }
 
@@ -454,7 +454,7 @@
 		return false
 	}
 	last := stopSends
-	if m.rec.Rules.Repeat == decide.Unsafe {
+	if m.rec.Rules.Idempotency == decide.NonIdempotent {
 		last = stopUnsafe
 	}
 	return clock.Since(r.clock, r.stopAt) >= last
@@ -497,8 +497,8 @@
 	case h.call != nil:
 		r.returned(h.call, h.msg, h.result)
 	case h.probed != 0:
-		r.events = append(r.events, decide.Event{Kind: decide.EvProbed, Endpoint: h.probed,
-			Outcome: h.result.what, Took: h.result.took, Load: h.result.load})
+		r.events = append(r.events, decide.Event{Kind: decide.EvProbeResult, Endpoint: h.probed,
+			Outcome: h.result.what, Duration: h.result.took, Load: h.result.load})
 	}
 }
 
@@ -548,7 +548,7 @@
 	m.req = q
 	r.waiting[q] = m
 	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
-		Dest: q.rec.Dest, Tenant: tenant, Left: r.policyTime(q.rec.Deadline) - r.now()})
+		Dest: q.rec.Dest, Tenant: tenant, TimeLeft: r.policyTime(q.rec.Deadline) - r.now()})
 }
 
 // replyWritten: the client has its answer, or left before it.
@@ -780,7 +780,7 @@
 			return
 		}
 		m.tries++
-		m.until, m.cancelling = a.At, false
+		m.until, m.cancelling = a.TimeoutAt, false
 		m.pending = r.form(a.Endpoint)
 		m.pending.msgs = append(m.pending.msgs, m)
 	case decide.ActCancel:
@@ -803,7 +803,7 @@
 				r.in.put(event{probed: num, result: &o})
 			}()
 		}
-	case decide.ActClose:
+	case decide.ActCloseIdle:
 		if ep := r.endpoints[a.Endpoint]; ep != nil && ep.home != nil {
 			ep.home.closeIdle()
 		}
@@ -969,8 +969,8 @@
 
 // finished books the end of a message's attempt.
 func (r *Relay) finished(m *message, c *call, o *outcome) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.what, Wait: o.wait,
-		Slots: o.slots, Crowded: o.crowded, Settled: o.settled || m.over, Took: o.took, Load: o.load}
+	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.what, RetryAfter: o.wait,
+		NoFreeSlot: o.slots, NoFreeConnection: o.crowded, Final: o.settled || m.over, Duration: o.took, Load: o.load}
 	if c.ep != nil {
 		e.Endpoint = c.ep.num
 	}
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -92,7 +92,7 @@
 
 // entry is an endpoint in the policy's words.
 func (r *Relay) entry(e *membership.Endpoint) decide.Entry {
-	x := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Gone, Rate: e.Rate}
+	x := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Removed, Rate: e.Rate}
 	switch e.Phase {
 	case membership.Up:
 		x.State = decide.Ready
@@ -140,13 +140,13 @@
 // changed tells of changes: the policy those of destinations that it holds, and the
 // loop's own endpoints theirs.
 func (r *Relay) changed() {
-	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
+	e := decide.Event{Kind: decide.EvList, List: decide.ListDelta}
 	for i := range r.changes {
 		c := &r.changes[i]
 		if ep := r.endpoints[decide.Endpoint(c.Now.Number)]; ep != nil {
 			r.relist(ep, &c.Now)
 		}
-		if r.policy.Holds(c.Was.Dest) || r.policy.Holds(c.Now.Dest) {
+		if r.policy.HoldsDestination(c.Was.Dest) || r.policy.HoldsDestination(c.Now.Dest) {
 			e.Entries = append(e.Entries, r.entry(&c.Now))
 		}
 	}
@@ -198,7 +198,7 @@
 	ep.zone, ep.batch, ep.apart = p.Locality[:min(len(p.Locality), zoneNameMost)], 1, false
 	if at := place(r.cfg.kinds, p.Flavor); at >= 0 && at < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[at]
-		ep.batch, ep.apart = max(kind.Batch, 1), kind.Apart
+		ep.batch, ep.apart = max(kind.MaxBatch, 1), kind.SeparateLimits
 	}
 	if e.Phase != membership.Up {
 		r.leave(ep)
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -26,7 +26,7 @@
 }
 
 // moved turns the moments of an outage into those of another clock.
-func moved(o decide.OutageMemory, to func(decide.Time) decide.Time) decide.OutageMemory {
+func moved(o decide.OutageSnapshot, to func(decide.Time) decide.Time) decide.OutageSnapshot {
 	o.FirstBad, o.BadAt = to(o.FirstBad), to(o.BadAt)
 	if o.GoodAt != 0 {
 		o.GoodAt, o.GoodSent = max(to(o.GoodAt), 1), to(o.GoodSent)
@@ -37,7 +37,7 @@
 // resumeOutages takes up what the log says of outages: at once for endpoints that are
 // listed, for the others when a list names them.
 func (r *Relay) resumeOutages(found []*record) {
-	r.outages = map[string]decide.OutageMemory{}
+	r.outages = map[string]decide.OutageSnapshot{}
 	ids := make([]string, 0, len(found))
 	for _, rec := range found {
 		r.outages[rec.ID] = moved(*rec.Outage, func(t decide.Time) decide.Time { return r.policyTime(clock.Instant(t)) })
@@ -51,7 +51,7 @@
 
 // tellOutages tells the policy of the outages, found at the start, of endpoints that are listed by now.
 func (r *Relay) tellOutages(ids []string) {
-	m := &decide.Memory{}
+	m := &decide.Snapshot{}
 	for _, id := range ids {
 		o, found := r.outages[id]
 		e, listed := r.directory.Find(id)
@@ -64,6 +64,6 @@
 		m.Outages = append(m.Outages, o)
 	}
 	if len(m.Outages) > 0 {
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: m})
+		r.events = append(r.events, decide.Event{Kind: decide.EvSnapshot, Snapshot: m})
 	}
 }
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -80,7 +80,7 @@
 	}
 	const all = 5000
 	for i := range all {
-		o := &decide.OutageMemory{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
+		o := &decide.OutageSnapshot{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
 		if err := w.append(&record{Kind: recOutage, ID: fmt.Sprintf("s-%08d", i), Outage: o}, false); err != nil {
 			t.Fatalf("outage %d: %v", i, err)
 		}
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -49,7 +49,7 @@
 		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + fine, what: decide.Delivered, settled: true, keeps: true},
 		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Errored},
 		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Errored},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Full},
+		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Rejected},
 		"delivered, then a copy behind": {answer: fine + fine, what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 				defer h.pool.mu.Unlock()
 				return len(h.pool.idle) == 0 || !h.pool.idle[0].clean()
 			})
-			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Full {
+			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Rejected {
 				t.Errorf("second: %+v", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -218,7 +218,7 @@
 		c := h.pool.idle[0]
 		c.Conn = &racing{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().made(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.what != decide.Full {
+		if o := newTestCall().made(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.what != decide.Rejected {
 			t.Errorf("second: %+v", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -289,7 +289,7 @@
 		c, err := dial(ctx, addr)
 		return &breaking{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().made(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -349,7 +349,7 @@
 	}
 	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := p.home("127.0.0.1:1")
-	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	if open, _ := p.counts(); open != 0 {
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -135,5 +135,5 @@
 // must not go out without its record.
 func (r *Relay) logChanged(state logState) {
 	r.logFails = state == logFailing
-	r.events = append(r.events, decide.Event{Kind: decide.EvRecords, Unrecorded: r.logFails})
+	r.events = append(r.events, decide.Event{Kind: decide.EvRecording, CannotRecord: r.logFails})
 }
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -94,7 +94,7 @@
 	WindowUnknown bool `json:"window_unknown,omitempty"`
 
 	// outage: what is known of it, its moments as instants.
-	Outage *decide.OutageMemory `json:"outage,omitempty"`
+	Outage *decide.OutageSnapshot `json:"outage,omitempty"`
 
 	// clock: the reading by which what follows is to be read.
 	Clock *clock.Reading `json:"clock,omitempty"`
@@ -441,7 +441,7 @@
 	case r.Kind == recEnd:
 		w.owed -= l.size
 		delete(w.live, r.ID)
-		if c := l.rec.Rules; c != nil && c.Repeat != decide.Safe && (r.Ran || l.rec.Notice != "") {
+		if c := l.rec.Rules; c != nil && c.Idempotency != decide.Idempotent && (r.Ran || l.rec.Notice != "") {
 			w.keepEndedID(&record{Kind: recEndedID, ID: r.ID, Notice: l.rec.Notice, RetryMS: l.rec.RetryMS, Deadline: l.rec.Deadline + clock.Instant(c.Deadline)})
 		}
 	default:
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -39,9 +39,9 @@
 	w.logs.release()
 }
 
-func classed(id string, repeat decide.Repeat) *record {
+func classed(id string, repeat decide.Idempotency) *record {
 	return &record{Kind: recTaken, ID: id, Class: "c", Deadline: 4e15, Most: 8, body: []byte("body of " + id),
-		Rules: &decide.Class{Name: "c", Repeat: repeat, Deadline: 20e6, DedupWindow: 5e6}}
+		Rules: &decide.Class{Name: "c", Idempotency: repeat, Deadline: 20e6, DedupWindow: 5e6}}
 }
 
 // recovered tells what a start from a copy of the folder finds.
@@ -78,7 +78,7 @@
 // A message whose record fails at any byte is not taken on, is not in the log after a kill, and does
 // not hide what is written next.
 func TestAppendFailsAtEachByte(t *testing.T) {
-	text, err := classed("b", decide.Safe).encode(nil)
+	text, err := classed("b", decide.Idempotent).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,9 +86,9 @@
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, classed("a", decide.Safe))
+		mustAppend(t, w, classed("a", decide.Idempotent))
 		folder.fail(syscall.ENOSPC, written, opWrite, opTruncate)
-		if err := w.append(classed("b", decide.Safe), false); !errors.Is(err, syscall.ENOSPC) {
+		if err := w.append(classed("b", decide.Idempotent), false); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("%d bytes written: %v", written, err)
 		}
 		if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a"}) {
@@ -96,7 +96,7 @@
 		}
 		folder.heal()
 		w.heal()
-		mustAppend(t, w, classed("c", decide.Safe))
+		mustAppend(t, w, classed("c", decide.Idempotent))
 		if got := recoveredIDs(t, dir); !slices.Equal(got, []string{"a", "c"}) {
 			t.Fatalf("%d bytes written, healed: %q", written, got)
 		}
@@ -113,10 +113,10 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-			mustAppend(t, w, classed("safe", decide.Safe), classed("unsafe", decide.Unsafe), classed("ended", decide.Unsafe),
-				classed("done", decide.Unsafe), &record{Kind: recAttempt, ID: "done", At: 10}, &record{Kind: recAttempt, ID: "unsafe", At: 20})
+			mustAppend(t, w, classed("safe", decide.Idempotent), classed("unsafe", decide.NonIdempotent), classed("ended", decide.NonIdempotent),
+				classed("done", decide.NonIdempotent), &record{Kind: recAttempt, ID: "done", At: 10}, &record{Kind: recAttempt, ID: "unsafe", At: 20})
 			folder.fail(syscall.EIO, 3, operations...)
-			if err := w.append(classed("new", decide.Safe), false); err == nil {
+			if err := w.append(classed("new", decide.Idempotent), false); err == nil {
 				t.Fatal("taken on")
 			}
 			mustAppend(t, w, &record{Kind: recEnd, ID: "done", Ran: true}, &record{Kind: recOutcome, ID: "unsafe"},
@@ -151,7 +151,7 @@
 			if r := found["ended"]; r.Notice != endHandedBack || r.RetryMS != 7 {
 				t.Errorf("ended: %+v", r)
 			}
-			if err := w.append(classed("new", decide.Safe), false); err != nil {
+			if err := w.append(classed("new", decide.Idempotent), false); err != nil {
 				t.Error(err)
 			}
 		})
@@ -162,20 +162,20 @@
 func TestAttemptsWithoutRecord(t *testing.T) {
 	const sent = clock.Instant(1e15)
 	keyed := func(left int64) *record {
-		r := classed("m", decide.Keyed)
+		r := classed("m", decide.Deduplicated)
 		r.Deadline = sent + clock.Instant(left)
 		return r
 	}
 	local := keyed(1e6)
-	local.Rules.ZoneOnly = true
-	unknown := classed("m", decide.Safe)
+	local.Rules.DedupByZone = true
+	unknown := classed("m", decide.Idempotent)
 	unknown.Rules = nil
 	for name, x := range map[string]struct {
 		message *record
 		may     bool
 	}{
-		"safe":                             {classed("m", decide.Safe), true},
-		"unsafe":                           {classed("m", decide.Unsafe), false},
+		"safe":                             {classed("m", decide.Idempotent), true},
+		"unsafe":                           {classed("m", decide.NonIdempotent), false},
 		"keyed, over before its window is": {keyed(5e6), true},
 		"keyed, over after its window":     {keyed(5e6 + 1), false},
 		"keyed within a floor":             {local, false},
@@ -200,7 +200,7 @@
 func TestEndIsToldInTime(t *testing.T) {
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
-	m := classed("m", decide.Safe)
+	m := classed("m", decide.Idempotent)
 	m.Deadline = clock.System().Now().Add(30 * time.Millisecond)
 	mustAppend(t, w, m)
 	folder.fail(syscall.EIO, 0, changesFolder...)
@@ -228,10 +228,10 @@
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, slog.New(slog.NewTextHandler(&lines, nil)))
 	for round := 1; round <= 2; round++ {
-		mustAppend(t, w, classed(fmt.Sprint("m", round), decide.Safe))
+		mustAppend(t, w, classed(fmt.Sprint("m", round), decide.Idempotent))
 		folder.fail(syscall.ENOSPC, 5, opWrite)
 		for i := range 50 {
-			w.perform(walOp{rec: classed(fmt.Sprint("n", i), decide.Safe)})
+			w.perform(walOp{rec: classed(fmt.Sprint("n", i), decide.Idempotent)})
 			w.perform(walOp{rec: &record{Kind: recAttempt, ID: fmt.Sprint("m", round), At: 1}})
 			w.heal()
 		}
@@ -256,9 +256,9 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 4<<20, slog.New(slog.NewTextHandler(&lines, nil)))
-			mustAppend(t, w, classed("a", decide.Safe))
+			mustAppend(t, w, classed("a", decide.Idempotent))
 			folder.fail(syscall.ENOSPC, 0, operation)
-			big := classed("big", decide.Safe)
+			big := classed("big", decide.Idempotent)
 			big.body = bytes.Repeat([]byte("b"), 60<<10)
 			for range 40 { // the log is past the size at which it is compacted
 				mustAppend(t, w, big, &record{Kind: recEnd, ID: "big"})
@@ -290,8 +290,8 @@
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, classed("a", decide.Unsafe), classed("b", decide.Safe), &record{Kind: recAttempt, ID: "a", At: 5},
-			classed("c", decide.Safe), &record{Kind: recEnd, ID: "c"})
+		mustAppend(t, w, classed("a", decide.NonIdempotent), classed("b", decide.Idempotent), &record{Kind: recAttempt, ID: "a", At: 5},
+			classed("c", decide.Idempotent), &record{Kind: recEnd, ID: "c"})
 		folder.killAfter = killAfter
 		if err := w.compact(); err != nil {
 			t.Fatal(err)
@@ -309,7 +309,7 @@
 // A kill at any byte of the last record leaves what was known before it, or with its last byte what it says.
 func TestKilledAtEachByte(t *testing.T) {
 	for _, last := range []*record{
-		classed("b", decide.Unsafe),
+		classed("b", decide.NonIdempotent),
 		{Kind: recAttempt, ID: "a", At: 30, ZoneName: "f"},
 		{Kind: recOutcome, ID: "a", Ran: true},
 		{Kind: recEnding, ID: "a", Notice: endHandedBack, RetryMS: 7},
@@ -324,7 +324,7 @@
 				dir := t.TempDir()
 				folder := newFaultyFolder()
 				w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-				mustAppend(t, w, classed("a", decide.Unsafe), &record{Kind: recAttempt, ID: "a", At: 10}, &record{Kind: recOutcome, ID: "a"})
+				mustAppend(t, w, classed("a", decide.NonIdempotent), &record{Kind: recAttempt, ID: "a", At: 10}, &record{Kind: recOutcome, ID: "a"})
 				folder.killAfter = killAfter
 				mustAppend(t, w, last)
 				found := ""
@@ -350,7 +350,7 @@
 func TestStartsInAFolderThatCannotBeWritten(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{walName, walName + ".0.1"} {
-		text, err := classed("of "+name, decide.Unsafe).encode(nil)
+		text, err := classed("of "+name, decide.NonIdempotent).encode(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -384,7 +384,7 @@
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
 	left := filepath.Join(dir, walName+".1.0")
-	text, err := classed("left", decide.Unsafe).encode(nil)
+	text, err := classed("left", decide.NonIdempotent).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -443,7 +443,7 @@
 		want := map[string]bool{}
 		for i := range 60 {
 			id := fmt.Sprint("m", i)
-			if w.append(classed(id, decide.Safe), false) == nil {
+			if w.append(classed(id, decide.Idempotent), false) == nil {
 				want[id] = true
 			}
 			if folder.random.IntN(3) == 0 {
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -61,7 +61,7 @@
 type modelStep struct {
 	Kind   stepKind
 	Which  int // of the requests that the step may be about
-	Repeat decide.Repeat
+	Repeat decide.Idempotency
 	Micros int64
 	Bytes  int  // of a write that reach the file
 	Kill   bool // in this step, after Bytes
@@ -71,7 +71,7 @@
 	return modelStep{
 		Kind:   rapid.SampledFrom(drawnSteps).Draw(t, "kind"),
 		Which:  rapid.IntRange(0, 7).Draw(t, "which"),
-		Repeat: rapid.SampledFrom([]decide.Repeat{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "repeat"),
+		Repeat: rapid.SampledFrom([]decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}).Draw(t, "repeat"),
 		Micros: rapid.Int64Range(1, 4e6).Draw(t, "micros"),
 		Bytes:  rapid.IntRange(0, 400).Draw(t, "bytes"),
 		Kill:   rapid.IntRange(0, 9).Draw(t, "kill") == 0,
@@ -98,7 +98,7 @@
 
 // life is what the model knows of a request.
 type life struct {
-	repeat    decide.Repeat
+	repeat    decide.Idempotency
 	answered  bool // by +OK
 	refused   bool
 	ran       bool // an attempt may have run
@@ -131,9 +131,9 @@
 		m.broken(id, "forwarded after it was refused")
 	case l.told != "" || l.over:
 		m.broken(id, "forwarded after its final answer")
-	case l.ran && l.repeat == decide.Unsafe:
+	case l.ran && l.repeat == decide.NonIdempotent:
 		m.broken(id, "forwarded twice")
-	case l.ran && l.repeat == decide.Keyed && now >= l.ranAt+modelWindow:
+	case l.ran && l.repeat == decide.Deduplicated && now >= l.ranAt+modelWindow:
 		m.broken(id, "forwarded again after its window")
 	}
 	l.out = true
@@ -180,7 +180,7 @@
 // heldMessage is what the small relay knows of a message.
 type heldMessage struct {
 	id       string
-	repeat   decide.Repeat
+	repeat   decide.Idempotency
 	deadline clock.Instant
 	doubt    clock.Instant // send of the first attempt that may have run; 0 for none
 	sent     clock.Instant // of the attempt that is out; 0 for none
@@ -253,7 +253,7 @@
 	found := map[string]*record{}
 	for _, rec := range owed {
 		found[rec.ID] = rec
-		m := &heldMessage{id: rec.ID, repeat: rec.Rules.Repeat, deadline: rec.Deadline, doubt: rec.Doubt, notice: rec.Notice}
+		m := &heldMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline, doubt: rec.Doubt, notice: rec.Notice}
 		if r.breaks == breaksDoubt {
 			m.doubt = 0
 		}
@@ -363,7 +363,7 @@
 	l := &life{repeat: s.Repeat}
 	r.rules.lives[id] = l
 	rec := &record{Kind: recTaken, ID: id, Class: "c", Deadline: m.deadline, Most: 8, body: make([]byte, s.Bytes),
-		Rules: &decide.Class{Name: "c", Repeat: s.Repeat, Deadline: 20e6, DedupWindow: modelWindow}}
+		Rules: &decide.Class{Name: "c", Idempotency: s.Repeat, Deadline: 20e6, DedupWindow: modelWindow}}
 	r.perform(rec, func(err error) {
 		if err != nil && r.breaks != breaksAnswerFirst {
 			l.refused = true
@@ -380,9 +380,9 @@
 		return false
 	}
 	switch {
-	case m.doubt == 0 || m.repeat == decide.Safe:
+	case m.doubt == 0 || m.repeat == decide.Idempotent:
 		return true
-	case m.repeat == decide.Keyed:
+	case m.repeat == decide.Deduplicated:
 		return r.breaks == breaksWindow || r.now < m.doubt+modelWindow
 	}
 	return false
@@ -439,7 +439,7 @@
 // finish gives the final answer of a message that was not delivered.
 func (r *modelRelay) finish(m *heldMessage) {
 	m.notice = endGivenUp
-	if m.doubt == 0 || m.repeat == decide.Safe || m.repeat == decide.Keyed && r.now < m.doubt+modelWindow {
+	if m.doubt == 0 || m.repeat == decide.Idempotent || m.repeat == decide.Deduplicated && r.now < m.doubt+modelWindow {
 		m.notice = endHandedBack
 	}
 	if r.breaks == breaksForgetEnding && !r.killed {
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -77,7 +77,7 @@
 	mustAppend(t, w, &record{Kind: recAttempt, ID: "doubt", At: clk.Now()})
 	take("ended", "once")
 	mustAppend(t, w, &record{Kind: recEnd, ID: "ended", Ran: true},
-		&record{Kind: recOutage, ID: "s-1", Outage: &decide.OutageMemory{FirstBad: decide.Time(clk.Now()) - 5e6, BadAt: decide.Time(clk.Now())}})
+		&record{Kind: recOutage, ID: "s-1", Outage: &decide.OutageSnapshot{FirstBad: decide.Time(clk.Now()) - 5e6, BadAt: decide.Time(clk.Now())}})
 }
 
 // A wall clock that is stepped between two processes moves no deadline, window or outage.
@@ -296,7 +296,7 @@
 			At: now, Tries: 1, Doubt: now, WindowUnknown: unknown}
 		r.restore([]*record{rec}, nil)
 		m, e := r.ids["m"], r.events[len(r.events)-1]
-		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
+		if open := r.now()-e.MayHaveRunAt < rules.DedupWindow; open != want {
 			t.Errorf("unknown %v: the policy takes the window for open: %v", unknown, open)
 		}
 		if late := (part{by: m.repeatBy()}).late(now); late == want {
--- a/internal/relay/walhealth.go
+++ b/internal/relay/walhealth.go
@@ -254,10 +254,10 @@
 	switch {
 	case rules == nil:
 		return false
-	case rules.Repeat == decide.Safe:
+	case rules.Idempotency == decide.Idempotent:
 		return true
-	case rules.Repeat == decide.Keyed:
-		return !rules.ZoneOnly && message.Deadline <= attempt.At+clock.Instant(rules.DedupWindow)
+	case rules.Idempotency == decide.Deduplicated:
+		return !rules.DedupByZone && message.Deadline <= attempt.At+clock.Instant(rules.DedupWindow)
 	}
 	return false
 }
--- a/internal/rig/experiment/history.go
+++ b/internal/rig/experiment/history.go
@@ -41,11 +41,11 @@
 	set.MaxHeld = h.MaxHeld
 	c := &set.Classes[0]
 	c.Deadline = decide.Time(h.DeadlineS * 1e6)
-	c.Aim = c.Deadline / 4
+	c.TargetTime = c.Deadline / 4
 	outages := world.NewOutages(seed, h.DownShare, seconds(h.DownMeanS))
 	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages, Capacity: func(d int) float64 { return listed(d) * part },
 		SilentShare: h.SilentShare, ToldShare: h.ToldShare, ToldWait: seconds(h.ToldWaitS), StartCapacity: set.StartCapacity,
-		RampTime: time.Duration(set.RampTime) * time.Microsecond, OverloadFactor: set.OverloadFactor, FallTime: time.Duration(set.FallTime) * time.Microsecond})
+		RampTime: time.Duration(set.RampTime) * time.Microsecond, OverloadFactor: set.OverloadFactor, FallTime: time.Duration(set.OverloadTime) * time.Microsecond})
 	began := time.Now()
 	n, err := hollow.RunPath(ctx, hollow.PathOptions{Settings: set, Seed: seed, Relays: h.Played, Rate: h.EventsPerS, Span: seconds(h.Seconds),
 		Weights: weights, Partners: partners, Outages: outages, Capacity: listed, RoundTrip: seconds(h.RoundTripMS / 1000)})
--- a/internal/rig/experiment/policy.go
+++ b/internal/rig/experiment/policy.go
@@ -82,11 +82,11 @@
 	// deliver hands in a message for a destination and answers its call.
 	deliver := func(dest int) {
 		message++
-		step(decide.Event{Kind: decide.EvMessage, Message: message, Dest: dest, Left: settings.Classes[0].Deadline, Tenant: -1})
+		step(decide.Event{Kind: decide.EvMessage, Message: message, Dest: dest, TimeLeft: settings.Classes[0].Deadline, Tenant: -1})
 		for _, a := range acts {
 			if a.Kind == decide.ActSend && a.Message == message {
 				step(decide.Event{Kind: decide.EvOutcome, Message: a.Message, Attempt: a.Attempt, Endpoint: a.Endpoint,
-					Outcome: decide.Delivered, Settled: true, Took: 1000})
+					Outcome: decide.Delivered, Final: true, Duration: 1000})
 				return
 			}
 		}
@@ -101,13 +101,13 @@
 	if err := timed("change", x.Load.Changes, func(i int) {
 		e := list.Entries[(size-1-i%size)*endpointsEach]
 		e.Rate += float64(i + 1)
-		step(decide.Event{Kind: decide.EvList, List: decide.ListChange, Entries: []decide.Entry{e}})
+		step(decide.Event{Kind: decide.EvList, List: decide.ListDelta, Entries: []decide.Entry{e}})
 	}); err != nil {
 		return nil, err
 	}
 	if err := timed("settings", x.Load.Reloads, func(i int) {
 		s := settings
-		s.Probes = i%2 == 0
+		s.MayProbe = i%2 == 0
 		step(decide.Event{Kind: decide.EvSettings, Settings: &s})
 	}); err != nil {
 		return nil, err
--- a/internal/rig/hollow/fleet.go
+++ b/internal/rig/hollow/fleet.go
@@ -208,7 +208,7 @@
 func (r *Relay) news(l *relay.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kind := decide.ListChange
+	kind := decide.ListDelta
 	if l.Complete {
 		kind, r.known = decide.ListFull, l
 	}
@@ -220,8 +220,8 @@
 }
 
 // book tells the policy. The caller holds the lock.
-func (r *Relay) book(l *relay.List, kind decide.ListNews) {
-	if len(l.Members) == 0 && kind == decide.ListChange {
+func (r *Relay) book(l *relay.List, kind decide.ListUpdate) {
+	if len(l.Members) == 0 && kind == decide.ListDelta {
 		return
 	}
 	e := decide.Event{Kind: decide.EvList, List: kind, Entries: make([]decide.Entry, 0, len(l.Members))}
@@ -232,7 +232,7 @@
 		case "draining":
 			state = decide.Draining
 		case "removed":
-			state = decide.Gone
+			state = decide.Removed
 		}
 		e.Entries = append(e.Entries, decide.Entry{Endpoint: r.fleet.number(m.ID), Dest: m.Cell, State: state, Rate: m.Size})
 	}
--- a/internal/rig/hollow/path.go
+++ b/internal/rig/hollow/path.go
@@ -125,7 +125,7 @@
 	if !r.listed[dest] {
 		r.listed[dest] = true
 		p.count.Seen++
-		e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
+		e := decide.Event{Kind: decide.EvList, List: decide.ListDelta}
 		for k := range 2 {
 			e.Entries = append(e.Entries, decide.Entry{Endpoint: decide.Endpoint(2*dest + k + 1), Dest: dest, State: decide.Ready,
 				Rate: p.o.Capacity(dest)})
@@ -140,7 +140,7 @@
 		p.count.ToDown++
 	}
 	p.step(relay, now, append(events, decide.Event{Kind: decide.EvMessage, Message: r.last, Dest: dest, Tenant: -1,
-		Left: p.o.Settings.Classes[0].Deadline})...)
+		TimeLeft: p.o.Settings.Classes[0].Deadline})...)
 }
 
 // ended tells a relay how an attempt ended.
@@ -193,7 +193,7 @@
 		case decide.ActCancel:
 			if m != nil && m.out == a.Attempt {
 				p.queue.Add(int64(now+1), pathEvent{relay: relay, message: a.Message, outcome: decide.Event{Kind: decide.EvOutcome,
-					Message: a.Message, Attempt: a.Attempt, Outcome: decide.Cancelled, Took: 1}})
+					Message: a.Message, Attempt: a.Attempt, Outcome: decide.Cancelled, Duration: 1}})
 			}
 		case decide.ActTimer:
 			// Those of one millisecond come together: a step that a timer brings asks for another one a tick later as
@@ -222,20 +222,20 @@
 	reply, wait := p.o.Partners.Call(m.dest, model(now))
 	switch reply {
 	case partner.Served:
-		e.Outcome, e.Settled = decide.Delivered, true
+		e.Outcome, e.Final = decide.Delivered, true
 	case partner.Busy:
 		p.count.Busy++
-		e.Outcome = decide.Full
+		e.Outcome = decide.Rejected
 	case partner.Told:
-		e.Outcome, e.Wait = decide.Full, decide.Time(wait.Microseconds())
+		e.Outcome, e.RetryAfter = decide.Rejected, decide.Time(wait.Microseconds())
 	case partner.Broken:
 		e.Outcome = decide.Errored
 	case partner.Mute:
 		e.Outcome = decide.TimedOut
 	}
-	if limit := max(a.At-now, 1); reply == partner.Mute || took > limit {
-		took, e.Outcome, e.Settled = limit, decide.TimedOut, false
+	if limit := max(a.TimeoutAt-now, 1); reply == partner.Mute || took > limit {
+		took, e.Outcome, e.Final = limit, decide.TimedOut, false
 	}
-	e.Took = took
+	e.Duration = took
 	p.queue.Add(int64(now+took), pathEvent{relay: relay, message: a.Message, outcome: e})
 }
