--- a/decide/containers.go
+++ b/decide/containers.go
@@ -18,6 +18,7 @@
 	hasStart  bool
 }
 
+// newRollingCounter returns an empty counter over the given span, divided into bins.
 func newRollingCounter(span Time, bins int) rollingCounter {
 	return rollingCounter{binWidth: span / Time(bins), binCount: Time(bins)}
 }
@@ -65,6 +66,7 @@
 func (c *rollingCounter) addRequest(now Time) { c.add(now, 0) }
 func (c *rollingCounter) addAccept(now Time)  { c.add(now, 1) }
 
+// totals returns the requests and accepts within the time window.
 func (c *rollingCounter) totals(now Time) (requests, accepts float64) {
 	c.advance(now)
 	return c.sums[0], c.sums[1]
@@ -119,6 +121,7 @@
 	samples         int
 }
 
+// add updates the estimate with a sample; each sample has a weight of 1/8.
 func (l *latencyEstimate) add(sample float64) {
 	l.samples++
 	if l.samples == 1 {
@@ -136,12 +139,14 @@
 	lastSeq uint64
 }
 
+// timerItem is a value with its due time; seq orders the items of the same time.
 type timerItem[T any] struct {
 	at    Time
 	seq   uint64
 	value T
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap[T any] []timerItem[T]
 
 func (h timerHeap[T]) Len() int      { return len(h) }
@@ -158,6 +163,7 @@
 	return x
 }
 
+// add schedules a value for the given time.
 func (q *timerQueue[T]) add(at Time, value T) {
 	q.lastSeq++
 	heap.Push(&q.items, timerItem[T]{at, q.lastSeq, value})
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -93,8 +93,8 @@
 	return can
 }
 
-// nextDispatchAt returns the next moment at which the passing of time alone may allow a call to a
-// destination.
+// nextDispatchAt returns the next time at which a call to a destination may become possible without any
+// further event.
 func (p *Policy) nextDispatchAt(d *destination) Time {
 	p.nextDispatchScans++
 	next := Time(math.MaxInt64)
@@ -196,8 +196,8 @@
 	if c := ep.lastCall; c != nil && c.sentAt == p.now && !p.mayShareCall(m, c.messages[0], ep) {
 		return false // one step makes one call to an endpoint; the next step follows soon
 	}
-	// A non-idempotent message has only one attempt that may run: it avoids ejected endpoints until its
-	// target time has passed.
+	// A non-idempotent message has only one attempt that may run: until its target time has passed it
+	// avoids ejected endpoints that have not recovered.
 	return m.class.Idempotency != NonIdempotent || !ep.ejected || ep.recoveredAt > 0 || p.now > m.targetAt
 }
 
--- a/decide/state.go
+++ b/decide/state.go
@@ -153,6 +153,7 @@
 	pausedUntil Time       // no first attempt of a message before then
 }
 
+// emit appends an action to those of the current step.
 func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
 // resumeAttempts restores the attempts that a predecessor process made for a message. If none is left to
@@ -202,6 +203,7 @@
 // waitLogInterval is the shortest time between two log lines of logWaitReasons for a destination.
 const waitLogInterval = Time(1e6)
 
+// logf emits a log line.
 func (p *Policy) logf(format string, args ...any) {
 	p.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
