--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -129,7 +129,7 @@
 		retryAfter  decide.Time
 	}{
 		"different states": {ok, `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`, decide.Errored,
-			both(itemResult{decide.Delivered, true}, itemResult{decide.Full, false}), 0},
+			both(itemResult{decide.Delivered, true}, itemResult{decide.Rejected, false}), 0},
 		"expired, no more attempts": {ok, `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"}]`, decide.Errored,
 			both(itemResult{decide.NotSent, true}, itemResult{decide.NotSent, false}), 0},
 		"with Retry-After": {ok + "Retry-After: 0.5\r\n", `[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
@@ -140,8 +140,8 @@
 		"unknown state":              {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
 		"invalid JSON":               {ok, `accepted`, decide.Errored, nil, 0},
 		"invalid Retry-After":        {ok + "Retry-After: soon\r\n", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
-		"429 with Retry-After":       {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Full, nil, 750000},
-		"unavailable":                {"HTTP/1.1 503 F\r\n", "", decide.Full, nil, 0},
+		"429 with Retry-After":       {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Rejected, nil, 750000},
+		"unavailable":                {"HTTP/1.1 503 F\r\n", "", decide.Rejected, nil, 0},
 		"error":                      {"HTTP/1.1 500 E\r\n", "", decide.Errored, nil, 0},
 		"too large":                  {"HTTP/1.1 413 M\r\n", "", decide.NotSent, nil, 0},
 		"bad request":                {"HTTP/1.1 400 B\r\n", "", decide.NotSent, nil, 0},
@@ -209,7 +209,7 @@
 		if id == "short" {
 			at = r.now() + 1500000 // 1.5 s, long enough for the call to be written first
 		}
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, At: at})
+		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, TimeoutAt: at})
 		msgs = append(msgs, m)
 	}
 	if len(r.forming) != 1 {
@@ -267,7 +267,7 @@
 		req := &putRequest{record: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
 		m := r.newMessage(req.record)
 		r.waiting[req] = m
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
+		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, TimeoutAt: at})
 		requests = append(requests, req)
 	}
 	c := r.forming[0]
@@ -309,7 +309,7 @@
 	}))
 	results := make(chan callResult, 1)
 	newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { results <- o })
-	if o := <-results; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Full {
+	if o := <-results; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Rejected {
 		t.Errorf("result: got %+v, want a delivered and b deferred", o)
 	}
 }
--- a/internal/relay/dial.go
+++ b/internal/relay/dial.go
@@ -40,5 +40,5 @@
 	if isLocalFailure(err) || isTransient(err) {
 		return decide.NotSent
 	}
-	return decide.NoConnect
+	return decide.ConnectFailed
 }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -67,7 +67,7 @@
 // already have run.
 func (ep *endpoint) recordResult(result *callResult, now decide.Time) bool {
 	switch result.outcome {
-	case decide.NoConnect:
+	case decide.ConnectFailed:
 		return true
 	case decide.Reset: // only one connection broke if the endpoint still responds on others
 		return ep.lastResponseAt < now-recentResponseWindow
@@ -481,7 +481,7 @@
 	}
 	// An endpoint that accepts no further connection responds with 503 on the new connection and closes it. That
 	// response carries no load report.
-	result.tooManyConns = result.outcome == decide.Full && status == http.StatusServiceUnavailable && resp.Close &&
+	result.tooManyConns = result.outcome == decide.Rejected && status == http.StatusServiceUnavailable && resp.Close &&
 		conn.priorCalls == 0 && resp.Header.Get("X-Server-Load") == "" && result.retryAfter == 0
 	report(result)
 	return result.err == nil && !resp.Close
@@ -518,9 +518,9 @@
 		if err != nil {
 			return err
 		}
-		r.outcome, r.retryAfter = decide.Full, retryAfter
+		r.outcome, r.retryAfter = decide.Rejected, retryAfter
 	case http.StatusServiceUnavailable:
-		if r.outcome = decide.Full; header.Get("Slots-Taken") == "1" {
+		if r.outcome = decide.Rejected; header.Get("Slots-Taken") == "1" {
 			r.outcome, r.slotsTaken = decide.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // the message has used up its attempts at the endpoint
@@ -537,7 +537,7 @@
 var batchStates = map[string]itemResult{
 	"accepted": {decide.Delivered, true},
 	"fault":    {decide.Errored, false},
-	"deferred": {decide.Full, false},
+	"deferred": {decide.Rejected, false},
 	"expired":  {decide.NotSent, true},
 	"no_more":  {decide.NotSent, false},
 }
@@ -604,7 +604,7 @@
 		}
 		switch name {
 		case "x0":
-			load.Left = v
+			load.Remaining = v
 		case "x1":
 			load.Limit = v
 		}
@@ -636,7 +636,7 @@
 			result.outcome = unsentOutcome(err)
 			return err
 		}
-		result.outcome = decide.NoConnect
+		result.outcome = decide.ConnectFailed
 		conn.readBudget = maxResponseBytes
 		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
 		reusable := false
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -123,8 +123,8 @@
 		"delivered":                 {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), outcome: decide.Delivered, settled: true},
 		"delivered, body cut off":   {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), outcome: decide.Delivered, settled: true},
 		"error":                     {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
-		"Retry-After":               {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Full, retryAfter: 750000},
-		"unavailable":               {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Full},
+		"Retry-After":               {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Rejected, retryAfter: 750000},
+		"unavailable":               {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Rejected},
 		"slots taken":               {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, slotsTaken: true},
 		"attempts used up":          {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent},
 		"gone":                      {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, settled: true},
@@ -155,7 +155,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect {
+	if o := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"}, testLimit); o.outcome != decide.ConnectFailed {
 		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
 	}
 	closed := make(chan struct{}, 2)
@@ -254,7 +254,7 @@
 func TestRetryAfterCancelsUnsentCalls(t *testing.T) {
 	for _, separate := range []bool{true, false} {
 		r := testRelay(t)
-		r.cfg.Policy.Kinds = []decide.Kind{{Apart: separate, Batch: 1}}
+		r.cfg.Policy.Kinds = []decide.DestKind{{SeparateLimits: separate, MaxBatch: 1}}
 		r.cfg.kinds = map[string]int{"k": 0}
 		list := &List{Complete: true}
 		for i, dest := range []int{1, 1, 2} {
@@ -274,7 +274,7 @@
 		sending.ep.calls[sending] = true
 		throttled := newTestCall()
 		throttled.ep = calls[0].ep
-		r.returned(throttled, nil, &callResult{outcome: decide.Full, retryAfter: 700e3})
+		r.returned(throttled, nil, &callResult{outcome: decide.Rejected, retryAfter: 700e3})
 		for i, cancelled := range []bool{true, !separate, false} {
 			if got := calls[i].stage.Load() == callCancelled; got != cancelled || got != (calls[i].ctx.Err() != nil) {
 				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got, cancelled)
@@ -303,8 +303,8 @@
 		{callResult{outcome: decide.TimedOut, elapsed: 500}, 2000, true},
 		{callResult{outcome: decide.Reset}, 2100, false}, // the endpoint responded at 1000: a single connection broke
 		{callResult{outcome: decide.Reset}, 1000 + recentResponseWindow + 1, true},
-		{callResult{outcome: decide.NoConnect}, 2200, true},
-		{callResult{outcome: decide.Full, status: 503}, 2300, false},
+		{callResult{outcome: decide.ConnectFailed}, 2200, true},
+		{callResult{outcome: decide.Rejected, status: 503}, 2300, false},
 		{callResult{outcome: decide.Cancelled, elapsed: 50}, 2320, false},
 	} {
 		if got := ep.recordResult(&x.result, x.now); got != x.want {
@@ -366,7 +366,7 @@
 
 func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
 		if got := parseLoad(s, fields); got != want {
 			t.Errorf("load report %q: got %+v, want that of the case", s, got)
 		}
@@ -384,7 +384,7 @@
 		parts []string
 		want  decide.Load
 	}{
-		"with the status line":  {[]string{statusLine + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Left: 0.4, Limit: 25}},
+		"with the status line":  {[]string{statusLine + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Remaining: 0.4, Limit: 25}},
 		"no report":             {[]string{statusLine + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
 		"cut off":               {[]string{statusLine + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
 		"invalid header":        {[]string{statusLine + "x1=25\r\n\r\n"}, decide.Load{}},
@@ -413,7 +413,7 @@
 }
 
 func TestProbe(t *testing.T) {
-	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Full, 404: decide.Errored} {
+	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Errored} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := probe(context.Background(), testPool(t).forHost(ep.addr())); o.outcome != want {
 			t.Errorf("probe with status %d: got %+v, want the outcome of the case", code, o)
--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -119,7 +119,7 @@
 	if result.retryAfter < 0 || result.retryAfter > maxRetryAfter.Microseconds() {
 		t.Errorf("Retry-After: got %d us, want 0 to maxRetryAfter", result.retryAfter)
 	}
-	if result.load.Left < 0 || result.load.Left > maxLoadValue || result.load.Limit < 0 || result.load.Limit > maxLoadValue {
+	if result.load.Remaining < 0 || result.load.Remaining > maxLoadValue || result.load.Limit < 0 || result.load.Limit > maxLoadValue {
 		t.Errorf("load: got %+v, want values from 0 to maxLoadValue", result.load)
 	}
 	if result.status != 0 && result.status != status {
@@ -134,7 +134,7 @@
 	if result.slotsTaken && (result.outcome != decide.NotSent || status != http.StatusServiceUnavailable) {
 		t.Errorf("slots taken: got outcome %d with status %d, want NotSent with 503", result.outcome, status)
 	}
-	if result.tooManyConns && (result.outcome != decide.Full || result.retryAfter != 0) {
+	if result.tooManyConns && (result.outcome != decide.Rejected || result.retryAfter != 0) {
 		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Full and 0", result.outcome, result.retryAfter)
 	}
 	if (result.malformed || result.err != nil) && result.outcome.NeverRan() {
@@ -144,7 +144,7 @@
 		t.Errorf("incomplete response: got outcome %d, want one of a call that may have run", result.outcome)
 	}
 	switch result.outcome {
-	case decide.Delivered, decide.Errored, decide.Full, decide.NotSent, decide.Reset:
+	case decide.Delivered, decide.Errored, decide.Rejected, decide.NotSent, decide.Reset:
 	default:
 		t.Errorf("outcome: got %d, want one that a response can have", result.outcome)
 	}
@@ -254,7 +254,7 @@
 			if id != "a" && id != "b" {
 				t.Errorf("result of message %q, which is not in the call", id)
 			}
-			if !slices.ContainsFunc([]itemResult{{decide.Delivered, true}, {decide.Errored, false}, {decide.Full, false},
+			if !slices.ContainsFunc([]itemResult{{decide.Delivered, true}, {decide.Errored, false}, {decide.Rejected, false},
 				{decide.NotSent, true}, {decide.NotSent, false}}, func(legal itemResult) bool { return legal == end }) {
 				t.Errorf("result of message %s: got %+v, want one that a state maps to", id, end)
 			}
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -92,7 +92,7 @@
 
 // policyEntry converts an endpoint of the directory to an entry for the policy.
 func (r *Relay) policyEntry(e *membership.Endpoint) decide.Entry {
-	entry := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Gone, Rate: e.Rate}
+	entry := decide.Entry{Endpoint: decide.Endpoint(e.Number), Dest: e.Dest, State: decide.Removed, Rate: e.Rate}
 	switch e.Phase {
 	case membership.Up:
 		entry.State = decide.Ready
@@ -141,13 +141,13 @@
 // publishChanges passes changes on: to the policy those of destinations that it has state about, and to the loop's
 // endpoint objects their own.
 func (r *Relay) publishChanges() {
-	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
+	e := decide.Event{Kind: decide.EvList, List: decide.ListDelta}
 	for i := range r.changes {
 		change := &r.changes[i]
 		if ep := r.endpoints[decide.Endpoint(change.Now.Number)]; ep != nil {
 			r.applyListing(ep, &change.Now)
 		}
-		if r.policy.Holds(change.Was.Dest) || r.policy.Holds(change.Now.Dest) {
+		if r.policy.HoldsDestination(change.Was.Dest) || r.policy.HoldsDestination(change.Now.Dest) {
 			e.Entries = append(e.Entries, r.policyEntry(&change.Now))
 		}
 	}
@@ -199,7 +199,7 @@
 	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), maxZoneNameBytes)], 1, false
 	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[i]
-		ep.maxBatch, ep.separateRoute = max(kind.Batch, 1), kind.Apart
+		ep.maxBatch, ep.separateRoute = max(kind.MaxBatch, 1), kind.SeparateLimits
 	}
 	if listed.Phase != membership.Up {
 		r.withdrawEndpoint(ep)
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -26,7 +26,7 @@
 }
 
 // convertOutageTimes converts the times in an outage to another clock.
-func convertOutageTimes(outage decide.OutageMemory, convert func(decide.Time) decide.Time) decide.OutageMemory {
+func convertOutageTimes(outage decide.OutageSnapshot, convert func(decide.Time) decide.Time) decide.OutageSnapshot {
 	outage.FirstBad, outage.BadAt = convert(outage.FirstBad), convert(outage.BadAt)
 	if outage.GoodAt != 0 {
 		outage.GoodAt, outage.GoodSent = max(convert(outage.GoodAt), 1), convert(outage.GoodSent)
@@ -37,7 +37,7 @@
 // resumeOutages restores the outages found in the log: at once for endpoints that are listed, and for the others when
 // a list names them.
 func (r *Relay) resumeOutages(found []*record) {
-	r.outages = map[string]decide.OutageMemory{}
+	r.outages = map[string]decide.OutageSnapshot{}
 	ids := make([]string, 0, len(found))
 	for _, rec := range found {
 		r.outages[rec.ID] = convertOutageTimes(*rec.Outage, func(t decide.Time) decide.Time {
@@ -53,7 +53,7 @@
 
 // restoreOutages passes the outages found in the log to the policy, for those of the given endpoints that are listed.
 func (r *Relay) restoreOutages(ids []string) {
-	memory := &decide.Memory{}
+	memory := &decide.Snapshot{}
 	for _, id := range ids {
 		outage, found := r.outages[id]
 		ep, listed := r.directory.Find(id)
@@ -66,6 +66,6 @@
 		memory.Outages = append(memory.Outages, outage)
 	}
 	if len(memory.Outages) > 0 {
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: memory})
+		r.events = append(r.events, decide.Event{Kind: decide.EvSnapshot, Snapshot: memory})
 	}
 }
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -48,7 +48,7 @@
 		"several interim responses":           {response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, outcome: decide.Delivered, settled: true, reusable: true},
 		"too many interim responses":          {response: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), outcome: decide.Errored},
 		"incomplete interim response":         {response: "HTTP/1.1 103 E\r\n", outcome: decide.Errored},
-		"503, then a second copy":             {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: decide.Full},
+		"503, then a second copy":             {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: decide.Rejected},
 		"200, then a second copy":             {response: okResponse + okResponse, outcome: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -183,7 +183,7 @@
 				defer h.pool.mu.Unlock()
 				return len(h.pool.idle) == 0 || !h.pool.idle[0].isClean()
 			})
-			if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Full {
+			if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Rejected {
 				t.Errorf("second call: got %+v, want the outcome Full", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -215,7 +215,7 @@
 		c := h.pool.idle[0]
 		c.Conn = &eofOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().runForResult(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.outcome != decide.Full {
+		if o := newTestCall().runForResult(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.outcome != decide.Rejected {
 			t.Errorf("second call: got %+v, want the outcome Full", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -284,7 +284,7 @@
 		c, err := dial(ctx, addr)
 		return &brokenWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.outcome != decide.NoConnect {
+	if o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.outcome != decide.ConnectFailed {
 		t.Errorf("result: got %+v, want the outcome NoConnect", o)
 	}
 }
@@ -344,7 +344,7 @@
 	}
 	waitFor(t, "the connections to close", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := p.forHost("127.0.0.1:1")
-	if o := newTestCall().runForResult(t, refused, &record{ID: "m"}, testLimit); o.outcome != decide.NoConnect {
+	if o := newTestCall().runForResult(t, refused, &record{ID: "m"}, testLimit); o.outcome != decide.ConnectFailed {
 		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
 	}
 	if open, _ := p.counts(); open != 0 {
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -100,7 +100,7 @@
 	DedupWindowUnknown bool `json:"window_unknown,omitempty"`
 
 	// Outage is the state of the outage in recordOutage; its times are instants.
-	Outage *decide.OutageMemory `json:"outage,omitempty"`
+	Outage *decide.OutageSnapshot `json:"outage,omitempty"`
 
 	// Clock is the clock reading that the instants in the following records refer to.
 	Clock *clock.Reading `json:"clock,omitempty"`
@@ -454,7 +454,7 @@
 	case rec.Kind == recordEnd:
 		w.reservedBytes -= live.reservedBytes
 		delete(w.pending, rec.ID)
-		if rules := live.rec.Rules; rules != nil && rules.Repeat != decide.Safe && (rec.MayHaveRun || live.rec.Notice != "") {
+		if rules := live.rec.Rules; rules != nil && rules.Idempotency != decide.Idempotent && (rec.MayHaveRun || live.rec.Notice != "") {
 			w.storeEndedID(&record{Kind: recordEndedID, ID: rec.ID, Notice: live.rec.Notice, RetryMS: live.rec.RetryMS,
 				Deadline: live.rec.Deadline + clock.Instant(rules.Deadline)})
 		}
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -40,9 +40,9 @@
 }
 
 // acceptedWithRepeat returns a record that accepts a message of a class with the given repeat rule.
-func acceptedWithRepeat(id string, repeat decide.Repeat) *record {
+func acceptedWithRepeat(id string, repeat decide.Idempotency) *record {
 	return &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: 4e15, MaxAttempts: 8, body: []byte("body of " + id),
-		Rules: &decide.Class{Name: "c", Repeat: repeat, Deadline: 20e6, DedupWindow: 5e6}}
+		Rules: &decide.Class{Name: "c", Idempotency: repeat, Deadline: 20e6, DedupWindow: 5e6}}
 }
 
 // recoverCopy returns the messages that a start from a copy of the folder recovers, by id.
@@ -81,7 +81,7 @@
 // A message whose record fails at any byte is refused, is not in the log after a kill, and does not
 // make later records unreadable.
 func TestAppendFailsAtEachByte(t *testing.T) {
-	text, err := acceptedWithRepeat("b", decide.Safe).encode(nil)
+	text, err := acceptedWithRepeat("b", decide.Idempotent).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,9 +89,9 @@
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, acceptedWithRepeat("a", decide.Safe))
+		mustAppend(t, w, acceptedWithRepeat("a", decide.Idempotent))
 		folder.fail(syscall.ENOSPC, written, opWrite, opTruncate)
-		if err := w.append(acceptedWithRepeat("b", decide.Safe), false); !errors.Is(err, syscall.ENOSPC) {
+		if err := w.append(acceptedWithRepeat("b", decide.Idempotent), false); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("%d bytes written: got error %v, want ENOSPC", written, err)
 		}
 		if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
@@ -99,7 +99,7 @@
 		}
 		folder.heal()
 		w.retryWrites()
-		mustAppend(t, w, acceptedWithRepeat("c", decide.Safe))
+		mustAppend(t, w, acceptedWithRepeat("c", decide.Idempotent))
 		if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a", "c"}) {
 			t.Fatalf("%d bytes written, then healed: recovered %q, want a and c", written, got)
 		}
@@ -117,12 +117,12 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-			mustAppend(t, w, acceptedWithRepeat("safe", decide.Safe), acceptedWithRepeat("unsafe", decide.Unsafe),
-				acceptedWithRepeat("ended", decide.Unsafe),
-				acceptedWithRepeat("done", decide.Unsafe), &record{Kind: recordAttempt, ID: "done", At: 10},
+			mustAppend(t, w, acceptedWithRepeat("safe", decide.Idempotent), acceptedWithRepeat("unsafe", decide.NonIdempotent),
+				acceptedWithRepeat("ended", decide.NonIdempotent),
+				acceptedWithRepeat("done", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "done", At: 10},
 				&record{Kind: recordAttempt, ID: "unsafe", At: 20})
 			folder.fail(syscall.EIO, 3, operations...)
-			if err := w.append(acceptedWithRepeat("new", decide.Safe), false); err == nil {
+			if err := w.append(acceptedWithRepeat("new", decide.Idempotent), false); err == nil {
 				t.Fatal("a new message was accepted")
 			}
 			mustAppend(t, w, &record{Kind: recordEnd, ID: "done", MayHaveRun: true}, &record{Kind: recordOutcome, ID: "unsafe"},
@@ -159,7 +159,7 @@
 			if r := found["ended"]; r.Notice != noticeHandedBack || r.RetryMS != 7 {
 				t.Errorf("ended: recovered %+v", r)
 			}
-			if err := w.append(acceptedWithRepeat("new", decide.Safe), false); err != nil {
+			if err := w.append(acceptedWithRepeat("new", decide.Idempotent), false); err != nil {
 				t.Error(err)
 			}
 		})
@@ -170,20 +170,20 @@
 func TestAttemptsWithoutRecord(t *testing.T) {
 	const sent = clock.Instant(1e15)
 	keyed := func(left int64) *record {
-		r := acceptedWithRepeat("m", decide.Keyed)
+		r := acceptedWithRepeat("m", decide.Deduplicated)
 		r.Deadline = sent + clock.Instant(left)
 		return r
 	}
 	local := keyed(1e6)
-	local.Rules.ZoneOnly = true
-	unknown := acceptedWithRepeat("m", decide.Safe)
+	local.Rules.DedupByZone = true
+	unknown := acceptedWithRepeat("m", decide.Idempotent)
 	unknown.Rules = nil
 	for name, test := range map[string]struct {
 		message *record
 		allowed bool
 	}{
-		"safe":                              {acceptedWithRepeat("m", decide.Safe), true},
-		"unsafe":                            {acceptedWithRepeat("m", decide.Unsafe), false},
+		"safe":                              {acceptedWithRepeat("m", decide.Idempotent), true},
+		"unsafe":                            {acceptedWithRepeat("m", decide.NonIdempotent), false},
 		"keyed, deadline within its window": {keyed(5e6), true},
 		"keyed, deadline after its window":  {keyed(5e6 + 1), false},
 		"keyed, window within one zone":     {local, false},
@@ -209,7 +209,7 @@
 func TestNoticeIsSentAtDeadline(t *testing.T) {
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
-	m := acceptedWithRepeat("m", decide.Safe)
+	m := acceptedWithRepeat("m", decide.Idempotent)
 	m.Deadline = clock.System().Now().Add(30 * time.Millisecond)
 	mustAppend(t, w, m)
 	folder.fail(syscall.EIO, 0, modifyingOperations...)
@@ -237,10 +237,10 @@
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, slog.New(slog.NewTextHandler(&lines, nil)))
 	for round := 1; round <= 2; round++ {
-		mustAppend(t, w, acceptedWithRepeat(fmt.Sprint("m", round), decide.Safe))
+		mustAppend(t, w, acceptedWithRepeat(fmt.Sprint("m", round), decide.Idempotent))
 		folder.fail(syscall.ENOSPC, 5, opWrite)
 		for i := range 50 {
-			w.perform(walOp{rec: acceptedWithRepeat(fmt.Sprint("n", i), decide.Safe)})
+			w.perform(walOp{rec: acceptedWithRepeat(fmt.Sprint("n", i), decide.Idempotent)})
 			w.perform(walOp{rec: &record{Kind: recordAttempt, ID: fmt.Sprint("m", round), At: 1}})
 			w.retryWrites()
 		}
@@ -265,9 +265,9 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 4<<20, slog.New(slog.NewTextHandler(&lines, nil)))
-			mustAppend(t, w, acceptedWithRepeat("a", decide.Safe))
+			mustAppend(t, w, acceptedWithRepeat("a", decide.Idempotent))
 			folder.fail(syscall.ENOSPC, 0, operation)
-			big := acceptedWithRepeat("big", decide.Safe)
+			big := acceptedWithRepeat("big", decide.Idempotent)
 			big.body = bytes.Repeat([]byte("b"), 60<<10)
 			for range 40 { // the log exceeds the size at which it is compacted
 				mustAppend(t, w, big, &record{Kind: recordEnd, ID: "big"})
@@ -300,9 +300,9 @@
 		dir := t.TempDir()
 		folder := newFaultyFolder()
 		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-		mustAppend(t, w, acceptedWithRepeat("a", decide.Unsafe), acceptedWithRepeat("b", decide.Safe),
+		mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent), acceptedWithRepeat("b", decide.Idempotent),
 			&record{Kind: recordAttempt, ID: "a", At: 5},
-			acceptedWithRepeat("c", decide.Safe), &record{Kind: recordEnd, ID: "c"})
+			acceptedWithRepeat("c", decide.Idempotent), &record{Kind: recordEnd, ID: "c"})
 		folder.killAfter = killAfter
 		if err := w.compact(); err != nil {
 			t.Fatal(err)
@@ -321,7 +321,7 @@
 // with its last byte.
 func TestKilledAtEachByte(t *testing.T) {
 	for _, last := range []*record{
-		acceptedWithRepeat("b", decide.Unsafe),
+		acceptedWithRepeat("b", decide.NonIdempotent),
 		{Kind: recordAttempt, ID: "a", At: 30, ZoneName: "f"},
 		{Kind: recordOutcome, ID: "a", MayHaveRun: true},
 		{Kind: recordEnding, ID: "a", Notice: noticeHandedBack, RetryMS: 7},
@@ -336,7 +336,7 @@
 				dir := t.TempDir()
 				folder := newFaultyFolder()
 				w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-				mustAppend(t, w, acceptedWithRepeat("a", decide.Unsafe), &record{Kind: recordAttempt, ID: "a", At: 10},
+				mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "a", At: 10},
 					&record{Kind: recordOutcome, ID: "a"})
 				folder.killAfter = killAfter
 				mustAppend(t, w, last)
@@ -363,7 +363,7 @@
 func TestStartsInUnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{walFileName, walFileName + ".0.1"} {
-		text, err := acceptedWithRepeat("of "+name, decide.Unsafe).encode(nil)
+		text, err := acceptedWithRepeat("of "+name, decide.NonIdempotent).encode(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -398,7 +398,7 @@
 	folder := newFaultyFolder()
 	w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
 	leftPath := filepath.Join(dir, walFileName+".1.0")
-	text, err := acceptedWithRepeat("left", decide.Unsafe).encode(nil)
+	text, err := acceptedWithRepeat("left", decide.NonIdempotent).encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -457,7 +457,7 @@
 		want := map[string]bool{}
 		for i := range 60 {
 			id := fmt.Sprint("m", i)
-			if w.append(acceptedWithRepeat(id, decide.Safe), false) == nil {
+			if w.append(acceptedWithRepeat(id, decide.Idempotent), false) == nil {
 				want[id] = true
 			}
 			if folder.random.IntN(3) == 0 {
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -61,7 +61,7 @@
 type modelStep struct {
 	Kind         stepKind
 	MessageIndex int // selects one of the messages that the step can apply to
-	Repeat       decide.Repeat
+	Repeat       decide.Idempotency
 	Micros       int64
 	Bytes        int  // length of a body, or how many bytes of a failing write reach the file
 	Kill         bool // kill the process in this step, once Bytes are written
@@ -72,7 +72,7 @@
 	return modelStep{
 		Kind:         rapid.SampledFrom(drawnSteps).Draw(t, "kind"),
 		MessageIndex: rapid.IntRange(0, 7).Draw(t, "which"),
-		Repeat:       rapid.SampledFrom([]decide.Repeat{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "repeat"),
+		Repeat:       rapid.SampledFrom([]decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}).Draw(t, "repeat"),
 		Micros:       rapid.Int64Range(1, 4e6).Draw(t, "micros"),
 		Bytes:        rapid.IntRange(0, 400).Draw(t, "bytes"),
 		Kill:         rapid.IntRange(0, 9).Draw(t, "kill") == 0,
@@ -99,7 +99,7 @@
 
 // modelMessage is the model's state of a message.
 type modelMessage struct {
-	repeat          decide.Repeat
+	repeat          decide.Idempotency
 	accepted        bool // the client received +OK
 	refused         bool
 	mayHaveRun      bool          // an attempt may have run
@@ -132,9 +132,9 @@
 		m.violation(id, "sent after it was refused")
 	case msg.notice != "" || msg.endWritten:
 		m.violation(id, "sent after its notice or end")
-	case msg.mayHaveRun && msg.repeat == decide.Unsafe:
+	case msg.mayHaveRun && msg.repeat == decide.NonIdempotent:
 		m.violation(id, "unsafe message sent twice")
-	case msg.mayHaveRun && msg.repeat == decide.Keyed && now >= msg.firstSent+modelDedupWindowMicros:
+	case msg.mayHaveRun && msg.repeat == decide.Deduplicated && now >= msg.firstSent+modelDedupWindowMicros:
 		m.violation(id, "sent again after its deduplication window")
 	}
 	msg.inFlight = true
@@ -181,7 +181,7 @@
 // relayMessage is the small relay's state of a message.
 type relayMessage struct {
 	id            string
-	repeat        decide.Repeat
+	repeat        decide.Idempotency
 	deadline      clock.Instant
 	inDoubtSince  clock.Instant // send of the first attempt that may have run; zero for none
 	inFlightSince clock.Instant // send of the attempt in flight; zero for none
@@ -255,7 +255,7 @@
 	found := map[string]*record{}
 	for _, rec := range pending {
 		found[rec.ID] = rec
-		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Repeat, deadline: rec.Deadline, inDoubtSince: rec.InDoubtSince,
+		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline, inDoubtSince: rec.InDoubtSince,
 			notice: rec.Notice}
 		if r.bug == bugForgetDoubt {
 			msg.inDoubtSince = 0
@@ -371,7 +371,7 @@
 	r.checker.messages[id] = state
 	rec := &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: msg.deadline, MaxAttempts: 8,
 		body:  make([]byte, step.Bytes),
-		Rules: &decide.Class{Name: "c", Repeat: step.Repeat, Deadline: 20e6, DedupWindow: modelDedupWindowMicros}}
+		Rules: &decide.Class{Name: "c", Idempotency: step.Repeat, Deadline: 20e6, DedupWindow: modelDedupWindowMicros}}
 	r.perform(rec, func(err error) {
 		if err != nil && r.bug != bugReplyBeforeRecord {
 			state.refused = true
@@ -388,9 +388,9 @@
 		return false
 	}
 	switch {
-	case msg.inDoubtSince == 0 || msg.repeat == decide.Safe:
+	case msg.inDoubtSince == 0 || msg.repeat == decide.Idempotent:
 		return true
-	case msg.repeat == decide.Keyed:
+	case msg.repeat == decide.Deduplicated:
 		return r.bug == bugIgnoreDedupWindow || r.now < msg.inDoubtSince+modelDedupWindowMicros
 	}
 	return false
@@ -447,7 +447,7 @@
 // finish ends a message that was not delivered with a notice.
 func (r *modelRelay) finish(msg *relayMessage) {
 	msg.notice = noticeGivenUp
-	if msg.inDoubtSince == 0 || msg.repeat == decide.Safe || msg.repeat == decide.Keyed &&
+	if msg.inDoubtSince == 0 || msg.repeat == decide.Idempotent || msg.repeat == decide.Deduplicated &&
 		r.now < msg.inDoubtSince+modelDedupWindowMicros {
 		msg.notice = noticeHandedBack
 	}
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -79,7 +79,7 @@
 	mustAppend(t, w, &record{Kind: recordAttempt, ID: "doubt", At: clk.Now()})
 	accept("ended", "once")
 	mustAppend(t, w, &record{Kind: recordEnd, ID: "ended", MayHaveRun: true},
-		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageMemory{FirstBad: decide.Time(clk.Now()) - 5e6,
+		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageSnapshot{FirstBad: decide.Time(clk.Now()) - 5e6,
 			BadAt: decide.Time(clk.Now())}})
 }
 
@@ -312,7 +312,7 @@
 			At:       now, Attempts: 1, InDoubtSince: now, DedupWindowUnknown: unknown}
 		r.restore([]*record{rec}, nil)
 		m, e := r.ids["m"], r.events[len(r.events)-1]
-		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
+		if open := r.now()-e.MayHaveRunAt < rules.DedupWindow; open != want {
 			t.Errorf("window unknown %v: the policy has it open: %v", unknown, open)
 		}
 		if late := (callItem{repeatUntil: m.repeatBy()}).repeatExpired(now); late == want {
