--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -1,6 +1,6 @@
-// Command troutusher is a relay: it takes messages from clients and owes each
-// of them its end. What it is told stands in the environment and in the file
-// that ROUTER_CONFIG names.
+// Command troutusher is a message relay: it accepts messages from clients, delivers them to the
+// endpoints of their destinations, and reports those that it gives up or hands back. It is configured
+// by environment variables and by the file named in ROUTER_CONFIG.
 package main
 
 import (
@@ -23,25 +23,26 @@
 )
 
 func main() {
-	// Caught from the start on: SIGHUP would end the process.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+	// SIGHUP is caught before anything else, since by default it terminates the process.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	level := slog.LevelInfo
-	if os.Getenv("ROUTER_LOG") == "debug" { // a line for each message that is taken, delivered and told
+	if os.Getenv("ROUTER_LOG") == "debug" { // also logs each accepted message, delivery and confirmed notice
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	cfg, err := relay.LoadConfig(os.Getenv)
 	if err != nil {
-		log.Error("cannot start", "err", err)
+		log.Error("invalid configuration", "err", err)
 		os.Exit(exitConfig)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	re := relay.Reload{Asked: hup, Read: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
-	if err := relay.Run(cfg, clock.System(), log, ctx.Done(), re); err != nil {
-		log.Error("ended", "err", err)
+	reload := relay.Reload{Requested: reloadSignals,
+		Read: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
+	if err := relay.Run(cfg, clock.System(), log, ctx.Done(), reload); err != nil {
+		log.Error("relay failed", "err", err)
 		os.Exit(exitFailed)
 	}
 }
--- a/internal/clock/manual.go
+++ b/internal/clock/manual.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Manual is a clock for tests, which moves only when it is told to.
+// Manual is a Clock for tests that advances only on request.
 type Manual struct {
-	mu   sync.Mutex
-	boot string
-	now  Instant
-	wall UnixMicro
+	mu     sync.Mutex
+	bootID string
+	now    Instant
+	wall   UnixMicro
 }
 
-// NewManual gives a clock that shows a reading.
-func NewManual(r Reading) *Manual { return &Manual{boot: r.Boot, now: r.Now, wall: r.Wall} }
+// NewManual returns a clock that starts with the reading r.
+func NewManual(r Reading) *Manual { return &Manual{bootID: r.BootID, now: r.Now, wall: r.Wall} }
 
-// Advance lets time pass.
+// Advance moves both clocks forward by d.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -24,7 +24,7 @@
 	m.wall += UnixMicro(d.Microseconds())
 }
 
-// StepWall steps the wall clock alone.
+// StepWall steps the wall clock by d and leaves the monotonic clock as it is.
 func (m *Manual) StepWall(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,8 +38,8 @@
 	return m.now
 }
 
-// Boot implements Clock.
-func (m *Manual) Boot() string { return m.boot }
+// BootID implements Clock.
+func (m *Manual) BootID() string { return m.bootID }
 
 // Wall implements Clock.
 func (m *Manual) Wall() UnixMicro {
--- a/internal/clock/reading.go
+++ b/internal/clock/reading.go
@@ -3,85 +3,88 @@
 import "time"
 
 const (
-	// stepSlack is the difference by which two processes of one machine may tell the same moment:
-	// a process may be held up between its two looks at the clock.
-	stepSlack = 200 * time.Millisecond
-	// maxUptime bounds the instants of a machine that was started within the last decades. Every
-	// Unix time of this century is above it.
+	// stepTolerance is the largest difference between two clock readings that is not taken for a step.
+	// Two processes of one machine may differ that much for the same moment, since a process may be
+	// delayed between two readings of its clocks.
+	stepTolerance = 200 * time.Millisecond
+	// maxUptime is above any instant of a machine that was booted within the last decades, and below
+	// every Unix time of this century in microseconds.
 	maxUptime Instant = 1 << 50
 )
 
-// Reading is one look at both clocks. Kept beside instants, it says what they mean to a process
-// that reads them later.
+// Reading is a simultaneous reading of the monotonic and the wall clock. Stored with instants, it lets
+// a later process convert them to its own clock.
 type Reading struct {
-	Boot string    `json:"boot,omitempty"`
-	Now  Instant   `json:"now,omitempty"`
-	Wall UnixMicro `json:"wall,omitempty"`
+	BootID string    `json:"boot,omitempty"`
+	Now    Instant   `json:"now,omitempty"`
+	Wall   UnixMicro `json:"wall,omitempty"`
 }
 
-// Read looks at a clock.
-func Read(c Clock) Reading { return Reading{Boot: c.Boot(), Now: c.Now(), Wall: c.Wall()} }
+// Read takes a reading of c.
+func Read(c Clock) Reading { return Reading{BootID: c.BootID(), Now: c.Now(), Wall: c.Wall()} }
 
-// Plausible reports whether the reading can be one of a real machine.
+// Plausible reports whether r can be the reading of a real machine.
 func (r Reading) Plausible() bool { return r.Now > 0 && r.Now < maxUptime && r.Wall > 0 }
 
-// Stepped reports whether the wall clock was stepped between two readings of one clock.
+// Stepped reports whether the wall clock was stepped between r and a later reading of the same clock.
 func (r Reading) Stepped(later Reading) bool {
 	drift := later.Wall.Sub(r.Wall) - later.Now.Sub(r.Now)
-	return drift.Abs() > stepSlack
+	return drift.Abs() > stepTolerance
 }
 
-// Conversion turns the instants of one clock into those of another.
+// Conversion converts the instants of one clock to those of another.
 type Conversion struct {
-	shift Instant
-	// longest is the shift if no time passed between the last instant that was kept and now.
-	longest Instant
-	// Certain tells that both are the same clock. Otherwise the time that passed between the two
-	// is an estimate, and no span can be shown to be still open.
-	Certain bool
+	estimatedShift Instant
+	// latestShift is the shift if no time has passed between the last instant seen on the old clock and
+	// now, which gives the latest instants that are possible.
+	latestShift Instant
+	// SameClock is set if both clocks are the same, so that instants are exact. Otherwise the time that
+	// has passed is an estimate, and it is never certain that a time window is still open.
+	SameClock bool
 }
 
-// Convert gives the conversion of instants that were kept by the clock of reading r to those of
-// now. The zero Reading stands for a clock that nothing is known of. latest is the last moment that
-// was seen on that clock: nothing that was to come then is moved further away.
-func (r Reading) Convert(latest Instant, now Reading) Conversion {
-	latest = max(latest, r.Now)
-	if r.sameClock(now) && latest.Sub(now.Now) <= stepSlack {
-		return Conversion{Certain: true}
+// Convert returns the conversion from instants of the clock of r to instants of the clock of now. The
+// zero Reading means that nothing is known about the old clock. lastSeen is the last moment seen on the
+// old clock: no instant ends up further in the future than it was then.
+func (r Reading) Convert(lastSeen Instant, now Reading) Conversion {
+	lastSeen = max(lastSeen, r.Now)
+	if r.sameClock(now) && lastSeen.Sub(now.Now) <= stepTolerance {
+		return Conversion{SameClock: true}
 	}
-	present := max(latest, now.Now)
+	estimatedNow := max(lastSeen, now.Now)
 	if r.Plausible() {
-		present = max(latest, r.Now.Add(now.Wall.Sub(r.Wall)))
+		estimatedNow = max(lastSeen, r.Now.Add(now.Wall.Sub(r.Wall)))
 	}
-	return Conversion{shift: now.Now - present, longest: now.Now - latest}
+	return Conversion{estimatedShift: now.Now - estimatedNow, latestShift: now.Now - lastSeen}
 }
 
-// ConvertUnix gives the conversion of moments of the wall clock, which earlier releases kept in
-// place of instants.
-func ConvertUnix(latest Instant, now Reading) Conversion {
-	present := max(latest, Instant(now.Wall))
-	c := Conversion{shift: now.Now - present, longest: now.Now - present}
-	if !latest.IsZero() {
-		c.longest = now.Now - latest
+// ConvertUnix returns the conversion from Unix microseconds, which earlier releases stored instead of
+// instants, to instants of the clock of now. lastSeen is as for Convert, zero if it is not known.
+func ConvertUnix(lastSeen Instant, now Reading) Conversion {
+	estimatedNow := max(lastSeen, Instant(now.Wall))
+	c := Conversion{estimatedShift: now.Now - estimatedNow, latestShift: now.Now - estimatedNow}
+	if !lastSeen.IsZero() {
+		c.latestShift = now.Now - lastSeen
 	}
 	return c
 }
 
-// IsUnix reports whether t is a moment of the wall clock that an earlier release kept.
+// IsUnix reports whether t is in Unix microseconds, as stored by earlier releases.
 func IsUnix(t Instant) bool { return t >= maxUptime }
 
+// sameClock reports whether both readings are of clocks with the same origin.
 func (r Reading) sameClock(now Reading) bool {
-	return r.Boot != "" && r.Boot == now.Boot && r.Plausible()
+	return r.BootID != "" && r.BootID == now.BootID && r.Plausible()
 }
 
-// Instant converts t, by the best estimate of the time that passed. None stays none, and what lies
-// before the clock's origin becomes its first instant.
-func (c Conversion) Instant(t Instant) Instant { return shifted(t, c.shift) }
+// Estimate converts t by the best estimate of the time that has passed. The zero Instant stays zero, and
+// moments before the new clock's origin become its first instant.
+func (c Conversion) Estimate(t Instant) Instant { return shiftInstant(t, c.estimatedShift) }
 
-// Latest converts t as if no time had passed.
-func (c Conversion) Latest(t Instant) Instant { return shifted(t, c.longest) }
+// Latest converts t as if no time had passed, which gives the latest instant that is possible.
+func (c Conversion) Latest(t Instant) Instant { return shiftInstant(t, c.latestShift) }
 
-func shifted(t, shift Instant) Instant {
+func shiftInstant(t, shift Instant) Instant {
 	if t.IsZero() {
 		return t
 	}
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -11,40 +11,41 @@
 
 const (
 	bootIDPath     = "/proc/sys/kernel/random/boot_id"
-	clockMonotonic = 1 // CLOCK_MONOTONIC, by which package time goes too
-	// unknownOrigin is the first instant of a process that cannot read the system's own.
-	unknownOrigin = Instant(time.Hour / time.Microsecond)
-	pairTries     = 5
-	pairWidth     = 100 * time.Microsecond // a narrower pair of readings is not looked for
+	clockMonotonic = 1 // CLOCK_MONOTONIC, which package time uses too
+	// fallbackOrigin is the first instant of a process that cannot read the system's monotonic clock.
+	fallbackOrigin  = Instant(time.Hour / time.Microsecond)
+	maxPairReads    = 5
+	targetPairWidth = 100 * time.Microsecond // readings this close together are accepted without another attempt
 )
 
-// system is the machine's clock. Package time does not tell the value of the monotonic clock, only
-// spans on it: the value is read once, through package syscall, and everything after goes by spans.
+// system is the machine's clock. Package time does not expose the value of the monotonic clock, only
+// durations on it. The value is read once, through package syscall; later instants add the duration
+// since then.
 type system struct {
-	boot   string
-	base   time.Time // carries the monotonic reading that origin belongs to
+	bootID string
+	base   time.Time // has the monotonic reading that corresponds to origin
 	origin Instant
 }
 
-// System gives the machine's clock.
+// System returns the machine's clock.
 var System = sync.OnceValue(func() Clock { return newSystem(os.ReadFile, readMonotonic) })
 
 func newSystem(readFile func(string) ([]byte, error), monotonic func() (time.Duration, error)) *system {
-	s := &system{base: time.Now(), origin: unknownOrigin}
-	text, err := readFile(bootIDPath)
+	s := &system{base: time.Now(), origin: fallbackOrigin}
+	bootIDText, err := readFile(bootIDPath)
 	if err != nil {
 		return s
 	}
-	if base, since, err := pair(monotonic); err == nil {
-		s.boot, s.base, s.origin = strings.TrimSpace(string(text)), base, Instant(since.Microseconds())
+	if base, since, err := readPair(monotonic); err == nil {
+		s.bootID, s.base, s.origin = strings.TrimSpace(string(bootIDText)), base, Instant(since.Microseconds())
 	}
 	return s
 }
 
-// pair reads both clocks as close to each other as it can.
-func pair(monotonic func() (time.Duration, error)) (base time.Time, since time.Duration, err error) {
+// readPair reads the time of package time and the system's monotonic clock as close together as it can.
+func readPair(monotonic func() (time.Duration, error)) (base time.Time, since time.Duration, err error) {
 	narrowest := time.Duration(-1)
-	for range pairTries {
+	for range maxPairReads {
 		before := time.Now()
 		value, err := monotonic()
 		if err != nil {
@@ -54,7 +55,7 @@
 		if narrowest < 0 || width < narrowest {
 			base, since, narrowest = before.Add(width/2), value, width
 		}
-		if narrowest <= pairWidth {
+		if narrowest <= targetPairWidth {
 			break
 		}
 	}
@@ -63,13 +64,14 @@
 
 // readMonotonic reads the system's monotonic clock.
 func readMonotonic() (time.Duration, error) {
-	var ts syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic, uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
+	var timespec syscall.Timespec
+	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic,
+		uintptr(unsafe.Pointer(&timespec)), 0); errno != 0 {
 		return 0, errno
 	}
-	return time.Duration(ts.Nano()), nil
+	return time.Duration(timespec.Nano()), nil
 }
 
 func (s *system) Now() Instant    { return s.origin.Add(time.Since(s.base)) }
-func (s *system) Boot() string    { return s.boot }
+func (s *system) BootID() string  { return s.bootID }
 func (s *system) Wall() UnixMicro { return UnixMicro(time.Now().UnixMicro()) }
--- a/internal/clock/system_test.go
+++ b/internal/clock/system_test.go
@@ -18,10 +18,10 @@
 		os.Exit(m.Run())
 	}
 	c := System()
-	os.Stdout.WriteString(c.Boot() + " " + strconv.FormatInt(int64(c.Now()), 10))
+	os.Stdout.WriteString(c.BootID() + " " + strconv.FormatInt(int64(c.Now()), 10))
 }
 
-// Two processes of one machine tell the same time.
+// Two processes on one machine share the same clock.
 func TestClockIsSharedByProcesses(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), childEnv+"=1")
@@ -34,18 +34,18 @@
 	boot, text, _ := strings.Cut(string(out), " ")
 	at, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		t.Fatalf("the other process says %q", out)
+		t.Fatalf("got output %q of the other process, want its boot id and instant", out)
 	}
-	if boot == "" || boot != System().Boot() {
-		t.Errorf("boot %q, the other process has %q", System().Boot(), boot)
+	if boot == "" || boot != System().BootID() {
+		t.Errorf("got boot id %q, the other process has %q", System().BootID(), boot)
 	}
-	slack := Instant(stepSlack.Microseconds())
+	slack := Instant(stepTolerance.Microseconds())
 	if Instant(at) < before-slack || Instant(at) > after+slack {
-		t.Errorf("the other process told %d between %d and %d", at, before, after)
+		t.Errorf("got instant %d from the other process, want %d to %d", at, before, after)
 	}
 }
 
-// A process that cannot read what ties its instants to others' has a clock of its own.
+// A process that cannot read the boot id or the system's monotonic clock uses an origin of its own.
 func TestClockWithoutABoot(t *testing.T) {
 	noFile := func(string) ([]byte, error) { return nil, os.ErrNotExist }
 	noCall := func() (time.Duration, error) { return 0, syscall.ENOSYS }
@@ -53,24 +53,24 @@
 		"no boot id":         newSystem(noFile, readMonotonic),
 		"no monotonic clock": newSystem(os.ReadFile, noCall),
 	} {
-		if c.Boot() != "" || c.Now() <= 0 || !Read(c).Plausible() {
-			t.Errorf("%s: %+v", name, Read(c))
+		if c.BootID() != "" || c.Now() <= 0 || !Read(c).Plausible() {
+			t.Errorf("%s: got reading %+v, want a plausible one without a boot id", name, Read(c))
 		}
 	}
-	if _, _, err := pair(noCall); !errors.Is(err, syscall.ENOSYS) {
+	if _, _, err := readPair(noCall); !errors.Is(err, syscall.ENOSYS) {
 		t.Error(err)
 	}
 }
 
 func TestManual(t *testing.T) {
-	c := NewManual(Reading{Boot: "b", Now: hour, Wall: today})
+	c := NewManual(Reading{BootID: "b", Now: hour, Wall: today})
 	c.Advance(time.Second)
 	c.StepWall(-time.Hour)
-	want := Reading{Boot: "b", Now: hour.Add(time.Second), Wall: today + 1e6 - UnixMicro(time.Hour.Microseconds())}
+	want := Reading{BootID: "b", Now: hour.Add(time.Second), Wall: today + 1e6 - UnixMicro(time.Hour.Microseconds())}
 	if got := Read(c); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if Since(c, hour) != time.Second || Until(c, hour) != -time.Second {
-		t.Error("spans are wrong")
+		t.Error("Since and Until of an instant one second ago are not 1s and -1s")
 	}
 }
--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -199,7 +199,7 @@
 	}
 	x := Member{ID: "s-1", HostPort: addr, Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}
 	r.told(t, &List{Complete: true, Members: []Member{x}})
-	r.events = nil
+	r.policyEvents = nil
 	ep := r.named("s-1")
 	var msgs []*message
 	for _, id := range []string{"short", "off", "last"} {
@@ -209,46 +209,46 @@
 		if id == "short" {
 			at = r.now() + 1500000 // long enough for the call to be written first
 		}
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, At: at})
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, At: at})
 		msgs = append(msgs, m)
 	}
-	if len(r.forming) != 1 {
-		t.Fatalf("%d calls", len(r.forming))
+	if len(r.formingCalls) != 1 {
+		t.Fatalf("%d calls", len(r.formingCalls))
 	}
-	c := r.forming[0]
-	r.gathered()
+	c := r.formingCalls[0]
+	r.dispatchCalls()
 	logAll()
 	if ids, _ := batchOf(t, <-entered); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
 		t.Errorf("in the call: %v, want the one that is waited for least at the end", ids)
 	}
 	told := func() {
 		var got []event
-		waitFor(t, "a happening", func() bool { got = r.in.takeAll(nil); return len(got) > 0 })
+		waitFor(t, "a happening", func() bool { got = r.inbox.takeAll(nil); return len(got) > 0 })
 		for _, h := range got {
-			r.take(h)
+			r.handleEvent(h)
 		}
 	}
 	told()
-	if len(r.events) != 1 || r.events[0].Message != msgs[0].num || r.events[0].Outcome != decide.TimedOut {
-		t.Fatalf("the short one: %+v", r.events)
+	if len(r.policyEvents) != 1 || r.policyEvents[0].Message != msgs[0].num || r.policyEvents[0].Outcome != decide.TimedOut {
+		t.Fatalf("the short one: %+v", r.policyEvents)
 	}
 	cancel := func(m *message) {
-		r.act(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
-		r.gathered()
-		r.events = nil
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
+		r.dispatchCalls()
+		r.policyEvents = nil
 		told()
-		if len(r.events) != 1 || r.events[0].Message != m.num || r.events[0].Outcome != decide.Cancelled {
-			t.Fatalf("%s: %+v", m.rec.ID, r.events)
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Message != m.num || r.policyEvents[0].Outcome != decide.Cancelled {
+			t.Fatalf("%s: %+v", m.rec.ID, r.policyEvents)
 		}
 	}
 	cancel(msgs[1])
-	if c.ctx.Err() != nil || r.calls != 1 {
-		t.Fatalf("the call ended with a message that still wants it; %d calls", r.calls)
+	if c.ctx.Err() != nil || r.callsInFlight != 1 {
+		t.Fatalf("the call ended with a message that still wants it; %d calls", r.callsInFlight)
 	}
 	cancel(msgs[2])
 	<-gone
-	if r.calls != 0 || len(ep.calls) != 0 {
-		t.Errorf("%d calls, %d at the endpoint", r.calls, len(ep.calls))
+	if r.callsInFlight != 0 || len(ep.calls) != 0 {
+		t.Errorf("%d calls, %d at the endpoint", r.callsInFlight, len(ep.calls))
 	}
 	r.pool.sweep(func(*poolConn) bool { return true })
 }
@@ -266,11 +266,11 @@
 	for _, id := range []string{"a", "b", "c"} {
 		q := &request{rec: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
 		m := r.newMessage(q.rec)
-		r.waiting[q] = m
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
+		r.unanswered[q] = m
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, At: at})
 		qs = append(qs, q)
 	}
-	c := r.forming[0]
+	c := r.formingCalls[0]
 	r.replyWritten(qs[0], true)
 	r.replyWritten(qs[1], true)
 	if c.stop != nil {
--- a/internal/relay/child_clock_test.go
+++ b/internal/relay/child_clock_test.go
@@ -27,11 +27,11 @@
 }
 
 // Boot implements clock.Clock.
-func (c steppedClock) Boot() string {
+func (c steppedClock) BootID() string {
 	if boot := os.Getenv(bootEnv); boot != "" {
 		return boot
 	}
-	return c.Clock.Boot()
+	return c.Clock.BootID()
 }
 
 // childClock is the clock that a child relay tells the time by.
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -112,7 +112,7 @@
 	if q.rec.Key = have["k"]; q.rec.Key != "" && !token(q.rec.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.rec.Key == "" && c.keyed(class) {
+	if q.rec.Key == "" && c.isKeyed(class) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return q, nil
@@ -195,7 +195,7 @@
 
 // readUntil sets the moment at which reading ends.
 func (cc *clientConn) readUntil(at clock.Instant) {
-	cc.SetReadDeadline(clock.Deadline(clock.Until(cc.clock, at)))
+	cc.SetReadDeadline(clock.DeadlineIn(clock.Until(cc.clock, at)))
 }
 
 // release ends the wait for a next request, for good. A connection is closed
@@ -203,13 +203,13 @@
 // first.
 func (cc *clientConn) release() {
 	cc.released = true
-	cc.SetReadDeadline(clock.Past)
+	cc.SetReadDeadline(clock.ExpiredDeadline)
 }
 
 func newClients(cfg *Config, clk clock.Clock, log *slog.Logger, put func(*request), said func(*request, bool)) *clients {
-	most, _ := cfg.budget()
+	most, _ := cfg.socketBudget()
 	return &clients{cfg: cfg, clock: clk, log: log, put: put, said: said, most: most,
-		first: firstWait, whole: cmp.Or(cfg.commandTime, wholeWait), quiet: idleWait, conns: map[*clientConn]bool{}}
+		first: firstWait, whole: cmp.Or(cfg.commandTimeout, wholeWait), quiet: idleWait, conns: map[*clientConn]bool{}}
 }
 
 // serve accepts until the listener is closed.
@@ -469,9 +469,9 @@
 		return
 	}
 	if cc.spoke { // a first command has the time that its connection has
-		cc.SetReadDeadline(clock.Deadline(c.whole))
+		cc.SetReadDeadline(clock.DeadlineIn(c.whole))
 	} else if cc.released {
-		cc.SetReadDeadline(clock.Deadline(c.first))
+		cc.SetReadDeadline(clock.DeadlineIn(c.first))
 	}
 }
 
@@ -488,7 +488,7 @@
 func (c *clients) await(cc *clientConn) {
 	switch {
 	case cc.ending || cc.released || c.leaving() && cc.busy == 0:
-		cc.SetReadDeadline(clock.Past)
+		cc.SetReadDeadline(clock.ExpiredDeadline)
 	case cc.busy > 0:
 		cc.SetReadDeadline(time.Time{})
 	default:
@@ -522,7 +522,7 @@
 	if cc.ending {
 		return false
 	}
-	cc.SetReadDeadline(clock.Deadline(c.whole))
+	cc.SetReadDeadline(clock.DeadlineIn(c.whole))
 	return true
 }
 
@@ -643,7 +643,7 @@
 }
 
 func (c *clients) write(cc *clientConn, s string) bool {
-	cc.SetWriteDeadline(clock.Deadline(writeWait))
+	cc.SetWriteDeadline(clock.DeadlineIn(writeWait))
 	_, err := writeAll(cc.Conn, []byte(s))
 	cc.wrote, cc.broken = true, err != nil
 	return err == nil
--- a/internal/relay/clock_step_test.go
+++ b/internal/relay/clock_step_test.go
@@ -425,7 +425,7 @@
 	untilValid(t, func() bool { return handoverTrial(t, step) })
 }
 
-// handoverTrial is not valid where the old process did not answer in meetWait, so that nothing was handed over.
+// handoverTrial is not valid where the old process did not answer within helloTimeout, so that nothing was handed over.
 func handoverTrial(t *testing.T, step time.Duration) (valid bool) {
 	gate := newGate()
 	served, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, gate.answer)
@@ -674,7 +674,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	most, _ := cfg.budget()
+	most, _ := cfg.socketBudget()
 	var open []net.Conn
 	defer func() {
 		for _, conn := range open {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -21,7 +21,7 @@
 	"troutusher/internal/wire"
 )
 
-// Limits are those of the relay's machine.
+// Limits are the resources of the machine that the relay may use. Zero stands for a default.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -29,33 +29,34 @@
 	DiskMB   int     `json:"disk_mb"`
 }
 
-// Config is everything that a relay is told before it starts.
+// Config is the configuration of a relay.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	State     string // the folder that outlasts the process
-	Ops       string // where operators call; empty for no door
-	SocketFD  int    // the clients' listener, held by the platform; -1 for none
-	Seed      uint64
-	Limits    Limits
-	Known     *membership.Directory // the list as this relay last had it, maybe old; nil for none
-	KnownErr  error                 // why there is none though one was given
-	Policy    decide.Settings
-	zones     map[string]int
-	kinds     map[string]int
-	classes   map[string]int
-	tenants   map[string]int
-	loads     []string       // fields of a load report
-	text      map[string]any // the file, but for the list in it, which comes and goes
-	folder    logFolder      // in place of the operating system's; nil but in tests
+	Name          string
+	ListenAddr    string
+	DiscoveryAddr string
+	StateFolder   string // holds the write-ahead log
+	OpsAddr       string // of the operator port; empty for none
+	SocketFD      int    // clients' listener, if the platform passes one; -1 for none
+	Seed          uint64
+	Limits        Limits
+	Known         *membership.Directory // last endpoint list of this relay, possibly out of date; nil for none
+	KnownErr      error                 // why Known is nil although the file has a list
+	Policy        decide.Settings
+	// zones, kinds, classes and tenants map names to indexes in the settings.
+	zones      map[string]int
+	kinds      map[string]int
+	classes    map[string]int
+	tenants    map[string]int
+	loadFields []string       // names of the fields of a load report
+	rawConfig  map[string]any // the file without its endpoint list, which may be absent
+	folder     logFolder      // replaces the operating system's in tests; nil otherwise
 
-	// commandTime is how long a client may take over a command after its first;
-	// wholeWait where it is 0, as it is outside of tests.
-	commandTime time.Duration
+	// commandTimeout is the time that a client may take for each command after its first, set in tests.
+	// 0 stands for the default.
+	commandTimeout time.Duration
 }
 
-// logFolder is what the log is written by.
+// logFolder returns the file operations that the log uses.
 func (c *Config) logFolder() logFolder {
 	if c.folder != nil {
 		return c.folder
@@ -63,19 +64,20 @@
 	return osFolder{}
 }
 
-// LoadConfig reads the file that ROUTER_CONFIG names. What the environment
-// says of name, addresses and state folder comes before the file.
+// LoadConfig reads the configuration file named by ROUTER_CONFIG. Environment variables override the
+// file's name, addresses and state folder.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	return readConfig(getenv, false)
 }
 
-// ReloadConfig reads the same file for a running relay. There its discovery
-// comes before the environment, which still says what held at the start.
+// ReloadConfig reads the same file for a running relay. The file's discovery address then overrides the
+// environment, which still has the values from the start of the process.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return readConfig(getenv, true)
 }
 
-func readConfig(getenv func(string) string, again bool) (*Config, error) {
+// readConfig reads the configuration file.
+func readConfig(getenv func(string) string, reload bool) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil, errors.New("ROUTER_CONFIG: not set")
@@ -85,57 +87,59 @@
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	defer f.Close()
-	return loadConfig(f, getenv, again)
+	return loadConfig(f, getenv, reload)
 }
 
-// loadConfig reads a configuration, and the list in it where this is not done again.
-// That list may be far longer than all else: it is read as a stream, straight into
-// its directory.
-func loadConfig(in io.ReadSeeker, getenv func(string) string, again bool) (*Config, error) {
-	x := &configReader{passOver: again}
-	if err := x.read(in); err != nil {
+// loadConfig reads a configuration, including its endpoint list unless it is a reload. Since the list
+// may be far longer than the rest, it is streamed straight into a directory.
+func loadConfig(source io.ReadSeeker, getenv func(string) string, reload bool) (*Config, error) {
+	reader := &configReader{skipKnown: reload}
+	if err := reader.read(source); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c, err := parseConfig(append(x.text, '}'), getenv, again)
-	if err != nil || x.known == nil {
+	c, err := parseConfig(append(reader.rest, '}'), getenv, reload)
+	if err != nil || reader.known == nil {
 		return c, err
 	}
-	if x.full != nil && directoryLimit(&c.Limits) > directoryLimit(&x.limits) { // they stood behind the list
-		if _, err := in.Seek(0, io.SeekStart); err != nil {
+	// The limits may come after the list in the file: a list that was too long for the limits known then is
+	// read again if it may fit now.
+	if reader.knownErr != nil && directoryLimit(&c.Limits) > directoryLimit(&reader.limits) {
+		if _, err := source.Seek(0, io.SeekStart); err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
-		x = &configReader{limits: c.Limits}
-		if err := x.read(in); err != nil {
+		reader = &configReader{limits: c.Limits}
+		if err := reader.read(source); err != nil {
 			return nil, fmt.Errorf("config: %w", err)
 		}
 	}
-	if x.full != nil { // a relay can start without
-		c.KnownErr = x.full
+	if reader.knownErr != nil { // a relay can start without the list
+		c.KnownErr = reader.knownErr
 		return c, nil
 	}
-	c.Known = x.known
+	c.Known = reader.known
 	c.Known.SetLimit(directoryLimit(&c.Limits))
 	return c, nil
 }
 
-// configReader splits a configuration.
+// configReader separates the endpoint list of a configuration from the rest.
 type configReader struct {
-	passOver bool   // the list
-	text     []byte // all but the list, without the end
-	limits   Limits // as far as they are known
-	known    *membership.Directory
-	full     error // why the list is not there whole
+	skipKnown bool   // skip the list, as a reload does
+	rest      []byte // the JSON object without the list and the closing brace
+	limits    Limits // as far as they have been read
+	known     *membership.Directory
+	knownErr  error // why the list could not be read completely
 }
 
-func (x *configReader) read(in io.Reader) error {
-	d := jx.Decode(in, 64<<10)
-	x.text = []byte{'{'}
+// read reads a whole configuration.
+func (x *configReader) read(source io.Reader) error {
+	d := jx.Decode(source, 64<<10)
+	x.rest = []byte{'{'}
 	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
 		if string(key) == "known" {
 			return x.readKnown(d)
 		}
-		if len(x.text) > 1 {
-			x.text = append(x.text, ',')
+		if len(x.rest) > 1 {
+			x.rest = append(x.rest, ',')
 		}
 		name, err := json.Marshal(string(key))
 		if err != nil {
@@ -143,9 +147,9 @@
 		}
 		raw, err := d.Raw()
 		if err == nil && string(key) == "limits" {
-			json.Unmarshal(raw, &x.limits) // what is wrong with them is told later
+			json.Unmarshal(raw, &x.limits) // errors are reported by parseConfig
 		}
-		x.text = append(append(append(x.text, name...), ':'), raw...)
+		x.rest = append(append(append(x.rest, name...), ':'), raw...)
 		return err
 	})
 	if err == nil {
@@ -154,42 +158,43 @@
 	return err
 }
 
+// readKnown reads the endpoint list into a directory. A list that does not fit sets knownErr.
 func (x *configReader) readKnown(d *jx.Decoder) error {
 	switch next := d.Next(); {
-	case next == jx.Null || next == jx.Object && x.passOver:
+	case next == jx.Null || next == jx.Object && x.skipKnown:
 		return d.Skip()
 	case next != jx.Object:
 		return errors.New("known: wrong type")
 	}
-	x.limits.fill()
-	x.known, x.full = membership.NewDirectory(directoryLimit(&x.limits)), nil
+	x.limits.applyDefaults()
+	x.known, x.knownErr = membership.NewDirectory(directoryLimit(&x.limits)), nil
 	stage, err := x.known.Stage(context.Background())
 	if err != nil {
 		return err
 	}
-	h, err := membership.ReadIn(d, func(_ *membership.Header, e *membership.Entry) error {
-		if x.full == nil {
-			_, x.full = stage.Entry(e, false)
+	header, err := membership.ReadIn(d, func(_ *membership.Header, e *membership.Entry) error {
+		if x.knownErr == nil {
+			_, x.knownErr = stage.Entry(e, false)
 		}
 		return nil
 	})
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	if x.full != nil {
+	if x.knownErr != nil {
 		stage.Abort()
 		return nil
 	}
-	u := stage.Commit(h.Revision, true)
+	update := stage.Commit(header.Revision, true)
 	for done := false; !done; {
-		_, done = u.Apply(listChunk, nil)
+		_, done = update.Apply(listChunk, nil)
 	}
 	return nil
 }
 
-// parseConfig reads a configuration but for its list.
-func parseConfig(text []byte, getenv func(string) string, again bool) (*Config, error) {
-	var f struct {
+// parseConfig parses a configuration without its endpoint list.
+func parseConfig(text []byte, getenv func(string) string, reload bool) (*Config, error) {
+	var file struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
 		Discovery string          `json:"discovery"`
@@ -199,36 +204,38 @@
 		Limits    Limits          `json:"limits"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("config: %s: wrong type %s", te.Field, te.Value)
+	if err := json.Unmarshal(text, &file); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("config: %s: wrong type %s", typeErr.Field, typeErr.Value)
 		}
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, State: f.State, Ops: f.Ops, Limits: f.Limits}
-	for _, v := range []struct {
+	cfg := &Config{Name: file.Name, ListenAddr: file.Listen, DiscoveryAddr: file.Discovery,
+		StateFolder: file.State, OpsAddr: file.Ops, Limits: file.Limits}
+	for _, setting := range []struct {
 		env, key string
 		to       *string
-	}{{"ROUTER_NAME", "name", &c.Name}, {"ROUTER_LISTEN", "listen", &c.Listen},
-		{"ROUTER_DISCOVERY", "discovery", &c.Discovery}, {"ROUTER_STATE", "state", &c.State}} {
-		if s := getenv(v.env); s != "" && (*v.to == "" || !again || v.key != "discovery") {
-			*v.to = s
+	}{{"ROUTER_NAME", "name", &cfg.Name}, {"ROUTER_LISTEN", "listen", &cfg.ListenAddr},
+		{"ROUTER_DISCOVERY", "discovery", &cfg.DiscoveryAddr}, {"ROUTER_STATE", "state", &cfg.StateFolder}} {
+		if value := getenv(setting.env); value != "" && (*setting.to == "" || !reload || setting.key != "discovery") {
+			*setting.to = value
 		}
-		if *v.to == "" {
-			return nil, fmt.Errorf("config: %s: missing, and %s is not set", v.key, v.env)
+		if *setting.to == "" {
+			return nil, fmt.Errorf("config: %s: missing, and %s is not set", setting.key, setting.env)
 		}
 	}
-	c.SocketFD = -1
-	if s := getenv("ROUTER_SOCKET_FD"); s != "" {
-		fd, err := strconv.Atoi(s)
+	cfg.SocketFD = -1
+	if value := getenv("ROUTER_SOCKET_FD"); value != "" {
+		fd, err := strconv.Atoi(value)
 		if err != nil || fd < 0 {
-			return nil, fmt.Errorf("ROUTER_SOCKET_FD: %q is no descriptor", s)
+			return nil, fmt.Errorf("ROUTER_SOCKET_FD: %q is not a file descriptor", value)
 		}
-		c.SocketFD = fd
+		cfg.SocketFD = fd
 	}
-	c.Ops = cmp.Or(getenv("ROUTER_OPS"), c.Ops) // on older days there is none
-	for key, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery, "ops": c.Ops} {
+	cfg.OpsAddr = cmp.Or(getenv("ROUTER_OPS"), cfg.OpsAddr) // optional: earlier configurations do not have it
+	for key, addr := range map[string]string{"listen": cfg.ListenAddr, "discovery": cfg.DiscoveryAddr,
+		"ops": cfg.OpsAddr} {
 		if key == "ops" && addr == "" {
 			continue
 		}
@@ -237,35 +244,34 @@
 		}
 	}
 	var err error
-	if c.Seed, err = parseSeed(f.Seed); err != nil {
+	if cfg.Seed, err = parseSeed(file.Seed); err != nil {
 		return nil, fmt.Errorf("config: seed: %w", err)
 	}
-	if err := c.Limits.fill(); err != nil {
+	if err := cfg.Limits.applyDefaults(); err != nil {
 		return nil, fmt.Errorf("config: limits.%w", err)
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errors.New("config: settings: missing")
 	}
-	if err := json.Unmarshal(text, &c.text); err != nil {
+	if err := json.Unmarshal(text, &cfg.rawConfig); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	return c, c.read(f.Settings)
+	return cfg, cfg.readSettings(file.Settings)
 }
 
-// read maps the settings object and the names in it.
-func (c *Config) read(text []byte) error {
-	s, err := wire.ParseSettings(text)
+// readSettings parses the settings object and indexes the names in it.
+func (c *Config) readSettings(text []byte) error {
+	parsed, err := wire.ParseSettings(text)
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if c.Policy, err = settings.Policy(s); err != nil {
+	if c.Policy, err = settings.Policy(parsed); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	if err := c.Policy.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	// On sockets a connection carries one call at a time, whatever the
-	// simulator's connections carry.
+	// A connection to an endpoint carries one call at a time, unlike the connections of the simulator.
 	c.Policy.Streams = 1
 	var names struct {
 		Localities []string `json:"localities"`
@@ -273,19 +279,20 @@
 	if err := json.Unmarshal(text, &names); err != nil {
 		return fmt.Errorf("config: settings: localities: %w", err)
 	}
-	c.loads = s.Report.Fields
-	c.zones, c.kinds = places(names.Localities), places(s.Kinds)
+	c.loadFields = parsed.Report.Fields
+	c.zones, c.kinds = indexByName(names.Localities), indexByName(parsed.Kinds)
 	c.classes, c.tenants = map[string]int{}, map[string]int{}
-	for i, x := range s.Classes {
-		c.classes[x.Name] = i
+	for i, entry := range parsed.Classes {
+		c.classes[entry.Name] = i
 	}
-	for i, x := range s.Accounts {
-		c.tenants[x.Name] = i
+	for i, entry := range parsed.Accounts {
+		c.tenants[entry.Name] = i
 	}
 	return nil
 }
 
-func places(names []string) map[string]int {
+// indexByName maps each name to its index.
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, n := range names {
 		m[n] = i
@@ -293,7 +300,7 @@
 	return m
 }
 
-// parseSeed takes 64 bits in hexadecimal, or a plain number.
+// parseSeed parses a 64-bit seed, given as a string in hexadecimal or as a decimal number.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return 0, errors.New("missing")
@@ -305,20 +312,20 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// limitMostMB bounds limits in megabytes: their bytes must be a number of 63 bits.
-const limitMostMB = 1 << 40
+// maxLimitMB is the highest limit in megabytes: the limit in bytes must fit in an int64.
+const maxLimitMB = 1 << 40
 
-// fill puts in what is left out, and tells of limits that cannot be.
-func (l *Limits) fill() error {
+// applyDefaults sets the defaults of limits that are zero, and returns an error for invalid ones.
+func (l *Limits) applyDefaults() error {
 	switch {
 	case l.Cores < 0:
 		return fmt.Errorf("cores: %v, want 0 or more", l.Cores)
-	case l.MemoryMB < 0 || l.MemoryMB > limitMostMB:
-		return fmt.Errorf("memory_mb: %d, want 0 to %d", l.MemoryMB, limitMostMB)
+	case l.MemoryMB < 0 || l.MemoryMB > maxLimitMB:
+		return fmt.Errorf("memory_mb: %d, want 0 to %d", l.MemoryMB, maxLimitMB)
 	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
 		return fmt.Errorf("sockets: %d, want at least %d", l.Sockets, minSockets)
-	case l.DiskMB < 0 || l.DiskMB > limitMostMB:
-		return fmt.Errorf("disk_mb: %d, want 0 to %d", l.DiskMB, limitMostMB)
+	case l.DiskMB < 0 || l.DiskMB > maxLimitMB:
+		return fmt.Errorf("disk_mb: %d, want 0 to %d", l.DiskMB, maxLimitMB)
 	}
 	if l.Cores == 0 {
 		l.Cores = 1
@@ -335,20 +342,20 @@
 	return nil
 }
 
-// Descriptors: what the runtime, the log, the listeners, discovery and the
-// operators' door hold, and the least that a relay can work with.
+// File descriptors.
 const (
-	ownSockets = 28 + opsMost
-	minSockets = 64
+	reservedSockets = 28 + opsMost // for the runtime, the log, the listeners, discovery and the operator port
+	minSockets      = 64           // the fewest with which a relay can work
 )
 
-// budget splits the descriptors between clients and endpoints. A call out
-// needs one each, so the endpoints' part is never under the slots as long as
-// the clients keep half.
-func (c *Config) budget() (clients, endpoints int) {
-	free := c.Limits.Sockets - ownSockets
+// socketBudget splits the available descriptors between clients and endpoints. Each call in flight needs
+// one, so the endpoints get at least as many as there are slots, unless that leaves the clients less
+// than half.
+func (c *Config) socketBudget() (clients, endpoints int) {
+	free := c.Limits.Sockets - reservedSockets
 	endpoints = min(max(free/4, c.Policy.Slots+8), free/2)
 	return free - endpoints, endpoints
 }
 
-func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == decide.Keyed }
+// isKeyed reports whether the messages of a class carry idempotency keys.
+func (c *Config) isKeyed(class int) bool { return c.Policy.Classes[class].Repeat == decide.Keyed }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// A bad value stops the start, and the error names its key.
+// An invalid value is rejected at startup with an error that names its key.
 func TestBadConfig(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
-	for name, x := range map[string]struct{ old, new, key string }{
+	for name, testCase := range map[string]struct{ old, new, key string }{
 		"no name":       {`"name":"n1",`, ``, "name"},
 		"no port":       {`"listen":"127.0.0.1:1"`, `"listen":"127.0.0.1"`, "listen"},
 		"discovery":     {`"discovery":"127.0.0.1:2"`, `"discovery":"x"`, "discovery"},
@@ -31,22 +31,26 @@
 		"negative time": {`"drain_grace_us":2000000`, `"drain_grace_us":-1`, "DrainGrace"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, x.old, x.new, 1)
+			text := strings.Replace(good, testCase.old, testCase.new, 1)
 			if text == good {
-				t.Fatal("nothing was changed")
+				t.Fatal("the text to replace is not in the configuration")
 			}
 			_, err := loadConfig(strings.NewReader(text), func(string) string { return "" }, false)
-			if err == nil || !strings.Contains(err.Error(), x.key) {
-				t.Errorf("error %v, want one that names %s", err, x.key)
+			if err == nil || !strings.Contains(err.Error(), testCase.key) {
+				t.Errorf("got error %v, want one that names %s", err, testCase.key)
 			}
 		})
 	}
-	c, err := loadConfig(strings.NewReader(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
-	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.Slots != 16 || c.Policy.Streams != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
-		t.Errorf("got %+v, %v", c, err)
+	cfg, err := loadConfig(strings.NewReader(good),
+		func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
+	if err != nil || cfg.StateFolder != "/y" || cfg.Seed != 0x1f || cfg.Policy.Slots != 16 ||
+		cfg.Policy.Streams != 1 || cfg.zones["b"] != 1 || cfg.classes["once"] != 2 {
+		t.Errorf("got configuration %+v and error %v, want the file's values and the environment's state folder",
+			cfg, err)
 	}
-	clients, endpoints := c.budget()
-	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.Slots {
-		t.Errorf("budget %d and %d of 256", clients, endpoints)
+	clients, endpoints := cfg.socketBudget()
+	if clients+endpoints+reservedSockets > 256 || endpoints < cfg.Policy.Slots {
+		t.Errorf("got %d sockets for clients and %d for endpoints, want at most 256 in all and one per slot",
+			clients, endpoints)
 	}
 }
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -160,7 +160,7 @@
 	m.acknowledged = true
 	m.call = newTestCall()
 	m.call.msgs = []*message{m}
-	r.ended(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, endHandedBack)
+	r.handleFinalAction(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, endHandedBack)
 	if m.call.commit([]part{{m: m}}, r.clock.Now()) {
 		t.Error("its call may still be written")
 	}
@@ -358,8 +358,8 @@
 			other+","+acme, floors))
 		again, _ := decodeRecord(text)
 		again.settle()
-		after.restore([]*record{again}, nil)
-		e := after.events[len(after.events)-1]
+		after.restoreMessages([]*record{again}, nil)
+		e := after.policyEvents[len(after.policyEvents)-1]
 		if e.DoubtIn != in || e.Tenant != 1 || e.Rules.Name != "keyed" || *e.Rules != keyed || e.Most != 3 || e.Tries != 1 || e.DoubtAt == 0 {
 			t.Errorf("floors %s: %+v, rules %+v", floors, e, e.Rules)
 		}
@@ -374,14 +374,14 @@
 		r.wal = &wal{in: newMailbox[walOp]()}
 		c := newTestCall()
 		c.ep = &endpoint{num: 1, calls: map[*call]bool{c: true}}
-		r.calls = 1
+		r.callsInFlight = 1
 		m := r.newMessage(&record{ID: "m", Class: "once"})
-		m.acknowledged, m.tries, m.call = true, 1, c
+		m.acknowledged, m.attempts, m.call = true, 1, c
 		c.msgs, c.out = []*message{m}, 1
-		r.returned(c, m, &outcome{what: decide.TimedOut, err: context.DeadlineExceeded})
-		r.returned(c, nil, &outcome{what: late, settled: late == decide.Delivered, status: 200})
-		if len(r.events) != 1 || r.events[0].Outcome != decide.TimedOut || r.calls != 0 || len(c.ep.calls) != 0 || m.over {
-			t.Errorf("%d events, %d calls, over %v", len(r.events), r.calls, m.over)
+		r.handleCallResult(c, m, &outcome{what: decide.TimedOut, err: context.DeadlineExceeded})
+		r.handleCallResult(c, nil, &outcome{what: late, settled: late == decide.Delivered, status: 200})
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Outcome != decide.TimedOut || r.callsInFlight != 0 || len(c.ep.calls) != 0 || m.ended {
+			t.Errorf("%d events, %d calls, over %v", len(r.policyEvents), r.callsInFlight, m.ended)
 		}
 		if ops := r.wal.in.takeAll(nil); len(ops) != 1 || !ops[0].rec.Ran {
 			t.Errorf("logged %d records", len(ops))
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -116,7 +116,7 @@
 }
 
 // run watches one address after another until ctx ends.
-func (d *discovery) run(ctx context.Context) { atEach(ctx, d.addr, d.moves, d.at) }
+func (d *discovery) run(ctx context.Context) { runPerAddress(ctx, d.addr, d.moves, d.at) }
 
 // at watches one address. Versions are that address's own, so it begins with
 // the whole list, but at the start of a relay that has one already: there a watch
@@ -500,7 +500,7 @@
 }
 
 // run sends to one address after another until ctx ends.
-func (n *notices) run(ctx context.Context) { atEach(ctx, n.addr, n.moves, n.at) }
+func (n *notices) run(ctx context.Context) { runPerAddress(ctx, n.addr, n.moves, n.at) }
 
 // at sends to one address; what is not confirmed there stays for the next.
 func (n *notices) at(ctx context.Context, addr string) {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -285,7 +285,7 @@
 		end(what, err)
 		return
 	}
-	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 	told := false
 	keep := readAnswer(conn, req, parts, loads, func(o outcome) {
 		told = true
@@ -344,7 +344,7 @@
 			conn.put()
 			return fail(decide.NotSent, err)
 		}
-		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 		err = conn.write(ctx, text, func() bool { return c.commit(parts, clk.Now()) })
 		if err == nil {
 			stop() // the caller watches on
@@ -489,7 +489,7 @@
 // What does come gives it as long again, within the call's own limit.
 func (c *poolConn) bound(d time.Duration) (stop func() bool) {
 	c.pause = d
-	c.stalled = time.AfterFunc(d, func() { c.SetReadDeadline(clock.Past) })
+	c.stalled = time.AfterFunc(d, func() { c.SetReadDeadline(clock.ExpiredDeadline) })
 	return func() bool {
 		c.pause = 0
 		return c.stalled.Stop()
@@ -624,7 +624,7 @@
 		}
 		o.what = decide.NoConnect
 		conn.left = answerMost
-		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 		keep := false
 		if err = conn.write(ctx, text.Bytes(), func() bool { return true }); err == nil {
 			keep = readAnswer(conn, req, nil, nil, func(x outcome) { o.what, o.status, err = x.what, x.status, x.err })
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -275,7 +275,7 @@
 		under.ep.calls[under] = true
 		told := newTestCall()
 		told.ep = calls[0].ep
-		r.returned(told, nil, &outcome{what: decide.Full, wait: 700e3})
+		r.handleCallResult(told, nil, &outcome{what: decide.Full, wait: 700e3})
 		for i, stopped := range []bool{true, !apart, false} {
 			if got := calls[i].stage.Load() == callStopped; got != stopped || got != (calls[i].ctx.Err() != nil) {
 				t.Errorf("apart %v: call to endpoint %d stopped: %v, want %v", apart, i, got, stopped)
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -39,7 +39,7 @@
 	}
 	cfg.folder = childFolder()
 	if text := os.Getenv(commandTimeEnv); text != "" {
-		if cfg.commandTime, err = time.ParseDuration(text); err != nil {
+		if cfg.commandTimeout, err = time.ParseDuration(text); err != nil {
 			log.Error("child", "err", err)
 			os.Exit(2)
 		}
@@ -47,7 +47,7 @@
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	re := Reload{Asked: hup, Read: func() (*Config, error) { return ReloadConfig(os.Getenv) }}
+	re := Reload{Requested: hup, Read: func() (*Config, error) { return ReloadConfig(os.Getenv) }}
 	if err := Run(cfg, childClock(), log, ctx.Done(), re); err != nil {
 		log.Error("child", "err", err)
 		os.Exit(1)
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -238,7 +238,7 @@
 	for _, id := range []string{"owed", "new"} {
 		mustBeBusy(t, client.put(id, fields("plain", 20000, 1), nil))
 	}
-	time.Sleep(2 * folderRetry) // further tries say nothing
+	time.Sleep(2 * folderRetryInterval) // further tries say nothing
 	if n := logged.count("state folder: failing"); n != 1 || logged.count("folder="+env["ROUTER_STATE"]) != 1 {
 		t.Errorf("the folder was said to fail %d times", n)
 	}
@@ -330,7 +330,7 @@
 	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
 	delivered := safe.count("safe")
 	_, logged := start()
-	waitFor(t, "the hand-over to be refused", func() bool { return logged.count("the old process does not hand over") == 1 })
+	waitFor(t, "the hand-over to be refused", func() bool { return logged.count("the predecessor does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
 	before := unsafe.count("unsafe")
 	unsafe.then(nil)
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -26,12 +26,12 @@
 			q := &request{rec: &record{ID: map[decide.Outcome]string{decide.Delivered: "good", decide.Errored: "bad"}[what],
 				Class: "plain", Dest: 7, Rules: &decide.Class{}}}
 			m := r.newMessage(q.rec)
-			r.waiting[q] = m
+			r.unanswered[q] = m
 			r.replyWritten(q, true)
-			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
-			c := r.forming[0]
-			r.gathered()
-			r.returned(c, nil, &outcome{what: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
+			r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
+			c := r.formingCalls[0]
+			r.dispatchCalls()
+			r.handleCallResult(c, nil, &outcome{what: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
 		}
 		n := newNotices("127.0.0.1:1", clock.System(), r.log, func(string) {})
 		n.settle(&owedNotice{notice: notice{Message: "bad", Outcome: endGivenUp}}, nil, 0)
--- a/internal/relay/fuzz_config_test.go
+++ b/internal/relay/fuzz_config_test.go
@@ -68,7 +68,7 @@
 		if !reflect.DeepEqual(again.Policy, cfg.Policy) || !reflect.DeepEqual(again.Limits, cfg.Limits) || again.Seed != cfg.Seed {
 			t.Errorf("read twice as\n%+v and\n%+v", cfg, again)
 		}
-		if err := again.replaces(cfg); err != nil {
+		if err := again.checkReplaces(cfg); err != nil {
 			t.Errorf("it cannot take its own place: %v", err)
 		}
 	})
@@ -77,10 +77,10 @@
 // checkConfig: what a relay does with a configuration works out.
 func checkConfig(t *testing.T, cfg *Config) {
 	t.Helper()
-	if cfg.Name == "" || cfg.State == "" {
-		t.Errorf("name %q, state %q", cfg.Name, cfg.State)
+	if cfg.Name == "" || cfg.StateFolder == "" {
+		t.Errorf("name %q, state %q", cfg.Name, cfg.StateFolder)
 	}
-	for _, address := range []string{cfg.Listen, cfg.Discovery} {
+	for _, address := range []string{cfg.ListenAddr, cfg.DiscoveryAddr} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			t.Errorf("address: %v", err)
 		}
@@ -91,8 +91,8 @@
 	if _, err := decide.New(cfg.Policy, cfg.Seed); err != nil {
 		t.Errorf("policy: %v", err)
 	}
-	clients, endpoints := cfg.budget()
-	if clients < 1 || endpoints < 1 || clients+endpoints+ownSockets > cfg.Limits.Sockets {
+	clients, endpoints := cfg.socketBudget()
+	if clients < 1 || endpoints < 1 || clients+endpoints+reservedSockets > cfg.Limits.Sockets {
 		t.Errorf("budget %d and %d of %d", clients, endpoints, cfg.Limits.Sockets)
 	}
 	if memory, list := memoryLimit(cfg), directoryLimit(&cfg.Limits); memory <= 0 || list <= 0 || list > memory {
@@ -128,13 +128,13 @@
 		if err != nil {
 			return
 		}
-		if cfg.replaces(running) != nil {
+		if cfg.checkReplaces(running) != nil {
 			return
 		}
 		if err := cfg.Policy.Validate(); err != nil || cfg.Policy.MaxAttempts <= 0 || len(cfg.Policy.Classes) == 0 {
 			t.Errorf("taken over: %d attempts, %d classes, %v", cfg.Policy.MaxAttempts, len(cfg.Policy.Classes), err)
 		}
-		checkKeys(t, running.text, cfg.text)
+		checkKeys(t, running.rawConfig, cfg.rawConfig)
 	})
 }
 
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -17,7 +17,7 @@
 
 // fuzzPeer is another process of the relay of which nothing is heard but what a test says.
 func fuzzPeer() *peer {
-	return &peer{out: newMailbox[handoverMessage](), quit: make(chan struct{}), last: make(chan struct{}), puts: map[string]*request{}}
+	return &peer{outbox: newMailbox[handoverMessage](), closed: make(chan struct{}), finish: make(chan struct{}), pendingPuts: map[string]*request{}}
 }
 
 // heirRelay is a relay that has taken over from an old process: it knows two
@@ -77,7 +77,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("the end of the connection is not heard")
 	}
-	<-p.quit
+	<-p.closed
 	return lines
 }
 
@@ -111,24 +111,24 @@
 		r := heirRelay(t)
 		elder := r.predecessor
 		for _, line := range decodeLines(t, text) {
-			if line.Estate != nil {
-				takeEstate(r, line.Estate)
+			if line.State != nil {
+				takeEstate(r, line.State)
 				continue
 			}
 			if r.predecessor != nil {
-				r.peerSaid(elder, line)
+				r.handlePeerMessage(elder, line)
 			}
 			settleRelay(r)
 		}
 		checkCalls(t, r)
 		checkEstate(t, r)
-		r.peerSaid(elder, nil)
+		r.handlePeerMessage(elder, nil)
 		settleRelay(r)
 		checkCalls(t, r)
-		if len(r.waiting) != 0 {
-			t.Errorf("%d clients of a process that is gone wait", len(r.waiting))
+		if len(r.unanswered) != 0 {
+			t.Errorf("%d clients of a process that is gone wait", len(r.unanswered))
 		}
-		for _, m := range r.msgs {
+		for _, m := range r.messages {
 			if m.call != nil && m.call.ctx == nil {
 				t.Errorf("a call of a process that is gone is out for %q", m.rec.ID)
 			}
@@ -143,22 +143,22 @@
 	for _, x := range left.Calls {
 		owed = append(owed, &record{Kind: recTaken, ID: x.ID, Class: "plain", Dest: 1, Deadline: r.clock.Now().Add(time.Second), Tries: 1, Out: r.clock.Now()})
 	}
-	r.restore(owed, out)
+	r.restoreMessages(owed, out)
 	settleRelay(r)
 }
 
 // settleRelay has a relay do what it does between two waits, until nothing is left.
 func settleRelay(r *Relay) {
 	for range 8 {
-		for _, h := range r.in.takeAll(nil) {
-			r.take(h)
+		for _, h := range r.inbox.takeAll(nil) {
+			r.handleEvent(h)
 		}
 		for _, op := range r.wal.in.takeAll(nil) {
 			if op.then != nil && op.rec.Kind != recAttempt { // no call of its own leaves
 				op.then(nil)
 			}
 		}
-		if len(r.events) > 0 {
+		if len(r.policyEvents) > 0 {
 			r.step()
 		}
 	}
@@ -168,22 +168,22 @@
 func checkCalls(t *testing.T, r *Relay) {
 	t.Helper()
 	held, calls := 0, map[*call]int{}
-	for num, m := range r.msgs {
+	for num, m := range r.messages {
 		if m.num != num {
 			t.Errorf("message %d under %d", m.num, num)
 		}
-		if r.ids[m.rec.ID] == m {
+		if r.messagesByID[m.rec.ID] == m {
 			held++
 		}
 		if m.call != nil {
 			calls[m.call]++
 		}
 	}
-	if held != r.held || len(r.ids) != held {
-		t.Errorf("%d messages are held, %d are counted, %d ids known", held, r.held, len(r.ids))
+	if held != r.heldCount || len(r.messagesByID) != held {
+		t.Errorf("%d messages are held, %d are counted, %d ids known", held, r.heldCount, len(r.messagesByID))
 	}
-	if len(calls) != r.calls {
-		t.Errorf("%d calls are out, %d are counted", len(calls), r.calls)
+	if len(calls) != r.callsInFlight {
+		t.Errorf("%d calls are out, %d are counted", len(calls), r.callsInFlight)
 	}
 	for c, messages := range calls {
 		if c.out != messages || !c.ep.calls[c] {
@@ -196,7 +196,7 @@
 func checkEstate(t *testing.T, r *Relay) {
 	t.Helper()
 	r.wal.path = "wal"
-	line, err := json.Marshal(handoverMessage{Estate: r.handoverState()})
+	line, err := json.Marshal(handoverMessage{State: r.collectHandoverState()})
 	if err != nil {
 		t.Errorf("cannot be handed over: %v", err)
 		return
@@ -219,10 +219,10 @@
 	f.Fuzz(func(t *testing.T, id string, span int64, what uint8, flag bool, body, behind []byte) {
 		id = strings.ToValidUTF8(id, "?") // JSON has no other texts
 		said := []handoverMessage{
-			{Hello: &handHello{Now: span}}, {Take: flag}, {Cancel: id}, {Said: &handSaid{id, flag}}, {Answer: &handAnswer{id, id}},
-			{Outcome: &handOutcome{ID: id, What: decide.Outcome(what), Wait: span, Settled: flag, Took: span, Err: id}},
-			{Put: &handPut{&record{Kind: recTaken, ID: id, Dest: int(span)}, body}},
-			{Estate: &handoverState{Log: id, Names: map[decide.Endpoint]string{decide.Endpoint(what): id}, Calls: []outCall{{id, 1, 1}}}},
+			{Hello: &handoverHello{PolicyNow: span}}, {Ready: flag}, {Cancel: id}, {ReplyWritten: &handoverReplyWritten{id, flag}}, {Reply: &handoverReply{id, id}},
+			{Outcome: &handoverOutcome{ID: id, Outcome: decide.Outcome(what), RetryAfter: span, Settled: flag, Elapsed: span, Err: id}},
+			{Put: &handoverPut{&record{Kind: recTaken, ID: id, Dest: int(span)}, body}},
+			{State: &handoverState{LogName: id, EndpointIDs: map[decide.Endpoint]string{decide.Endpoint(what): id}, Calls: []inFlightCall{{id, 1, 1}}}},
 		}
 		var text bytes.Buffer
 		encoder := json.NewEncoder(&text)
@@ -250,12 +250,12 @@
 func TestWaitOfUnlistedEndpoint(t *testing.T) {
 	r := heirRelay(t)
 	listed := r.endpoint(decide.Endpoint(r.directory.Of(0, nil)[0].Number))
-	takeEstate(r, &handoverState{Names: map[decide.Endpoint]string{9: "gone"}, Calls: []outCall{{ID: "m-1", Endpoint: 9, Call: 1}}})
-	if r.calls != 1 {
-		t.Fatalf("%d calls are out, want 1", r.calls)
+	takeEstate(r, &handoverState{EndpointIDs: map[decide.Endpoint]string{9: "gone"}, Calls: []inFlightCall{{ID: "m-1", Endpoint: 9, Call: 1}}})
+	if r.callsInFlight != 1 {
+		t.Fatalf("%d calls are out, want 1", r.callsInFlight)
 	}
-	r.fromPredecessor(&handoverMessage{Outcome: &handOutcome{ID: "m-1", What: decide.Full, Wait: 5e6}})
-	if r.calls != 0 || listed.waitUntil != 0 {
-		t.Errorf("%d calls are out, the listed endpoint waits until %d", r.calls, listed.waitUntil)
+	r.handlePredecessorMessage(&handoverMessage{Outcome: &handoverOutcome{ID: "m-1", Outcome: decide.Full, RetryAfter: 5e6}})
+	if r.callsInFlight != 0 || listed.waitUntil != 0 {
+		t.Errorf("%d calls are out, the listed endpoint waits until %d", r.callsInFlight, listed.waitUntil)
 	}
 }
--- a/internal/relay/fuzz_log_test.go
+++ b/internal/relay/fuzz_log_test.go
@@ -43,7 +43,7 @@
 	return [][]byte{
 		sound, damaged, sound[:len(sound)-1], nil,
 		encoded(&record{Kind: recEnd, ID: "nobody"}, &record{Kind: recOutage, ID: "endpoint"}, &record{Kind: recEndedID, ID: "over"}),
-		encoded(clockRecord(clock.Reading{Boot: "a", Now: 5e6, Wall: 1.7e15}), taken("seed-1", "x"), clockRecord(clock.Reading{Boot: "b", Now: 1, Wall: 1.7e15}),
+		encoded(clockRecord(clock.Reading{BootID: "a", Now: 5e6, Wall: 1.7e15}), taken("seed-1", "x"), clockRecord(clock.Reading{BootID: "b", Now: 1, Wall: 1.7e15}),
 			taken("seed-3", "y"), clockRecord(clock.Reading{Now: -1}), &record{Kind: recClock, ID: clockID}),
 		encoded(&record{Kind: "other", ID: "seed-2"}),
 		[]byte(walMark), []byte(walMark + "\xff\xff\xff\xff\x00\x00\x00\x00"), []byte(walMark + walMark + walMark),
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -57,7 +57,7 @@
 		if rec.Dest < 0 || rec.Dest > 1<<32-1 {
 			t.Errorf("destination %d", rec.Dest)
 		}
-		if cfg.keyed(class) && rec.Key == "" {
+		if cfg.isKeyed(class) && rec.Key == "" {
 			t.Error("a keyed class without a key")
 		}
 		checkRecordRoundTrip(t, rec)
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -20,8 +20,8 @@
 		t.Fatal(err)
 	}
 	manual := clock.NewManual(clock.Read(clock.System()))
-	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, in: newMailbox[event](), clock: manual, epoch: policyEpoch,
-		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
+	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, inbox: newMailbox[event](), clock: manual, epoch: policyEpoch,
+		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*request]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: membership.NewDirectory(0),
 		pool: newPool(manual, time.Second, time.Second, 8)}
 	policy.Use(r)
@@ -41,8 +41,8 @@
 		}
 	}
 	to.End(l.Revision, l.Complete)
-	for _, h := range r.in.takeAll(nil) {
-		r.take(h)
+	for _, h := range r.inbox.takeAll(nil) {
+		r.handleEvent(h)
 	}
 	r.applyAll()
 }
@@ -117,13 +117,13 @@
 	if s := put("known", 1); s != "held" {
 		t.Errorf("gone for now: %q", s)
 	}
-	held := r.held
+	held := r.heldCount
 	for i := range 1000 {
 		if s := put(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(s, "-ERR ") {
 			t.Fatalf("unknown: %q", s)
 		}
 	}
-	if r.held != held || len(r.ids) != held {
-		t.Errorf("%d held, want %d", r.held, held)
+	if r.heldCount != held || len(r.messagesByID) != held {
+		t.Errorf("%d held, want %d", r.heldCount, held)
 	}
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -22,284 +22,293 @@
 	"troutusher/internal/resp"
 )
 
-// An upgrade: a new process takes over from an old one that still serves. The
-// messages go with the old one's log, whose file changes hands by a rename; what
-// is in no log is said over a Unix socket, a line of JSON each. docs/design.md
-// has the cases in which one of the two fails.
+// An upgrade hands over from a running process, the predecessor, to a newly started one, the successor,
+// without losing messages. The messages are in the predecessor's log, whose file the successor renames
+// to one of its own. Everything that is not in the log goes over a Unix socket, as one JSON object a
+// line. docs/design.md describes what happens if either process fails.
 
 const (
-	meetWait   = 500 * time.Millisecond // for the old process to answer at all
-	handWait   = 2 * time.Second        // for the log to change hands
-	bindWait   = 5 * time.Second        // for an address that the old process lets go of
-	sayWait    = time.Second            // for one line to be written
-	watchLocks = 100 * time.Millisecond
-	unixMost   = 100 // bytes of a socket's path; the system allows few more
+	helloTimeout     = 500 * time.Millisecond // for the predecessor's first reply
+	handOverTimeout  = 2 * time.Second        // for the predecessor's state and log to be handed over
+	bindTimeout      = 5 * time.Second        // for the predecessor to free the listen address
+	peerWriteTimeout = time.Second            // for writing one line to the other process
+	lockPollInterval = 100 * time.Millisecond // between checks for slots of processes that have ended
+	maxSocketPath    = 100                    // bytes; the system allows only a few more
 )
 
-// handoverMessage is one line.
+// handoverMessage is one line between the two processes, with one of its fields set.
 type handoverMessage struct {
-	Hello   *handHello     `json:"hello,omitempty"` // from either: the new one's, answered by the old one's
-	Take    bool           `json:"take,omitempty"`  // new: it is ready to take over
-	Estate  *handoverState `json:"estate,omitempty"`
-	Taken   bool           `json:"taken,omitempty"` // new: the log is its own now
-	Outcome *handOutcome   `json:"outcome,omitempty"`
-	Cancel  string         `json:"cancel,omitempty"` // new: the call of this message is no longer wanted
-	Put     *handPut       `json:"put,omitempty"`
-	Answer  *handAnswer    `json:"answer,omitempty"`
-	Said    *handSaid      `json:"said,omitempty"`
-	Reload  bool           `json:"reload,omitempty"` // old: it was told to read the configuration again
+	Hello        *handoverHello        `json:"hello,omitempty"`   // from the successor; the predecessor replies with one
+	Ready        bool                  `json:"take,omitempty"`    // from the successor: it is ready to take over
+	State        *handoverState        `json:"estate,omitempty"`  // from the predecessor, in reply to Ready
+	LogTaken     bool                  `json:"taken,omitempty"`   // from the successor: it owns the log now
+	Outcome      *handoverOutcome      `json:"outcome,omitempty"` // from the predecessor
+	Cancel       string                `json:"cancel,omitempty"`  // from the successor: the message whose call to cancel
+	Put          *handoverPut          `json:"put,omitempty"`     // from the predecessor
+	Reply        *handoverReply        `json:"answer,omitempty"`  // from the successor, to a Put
+	ReplyWritten *handoverReplyWritten `json:"said,omitempty"`    // from the predecessor
+	Reload       bool                  `json:"reload,omitempty"`  // from the predecessor: it got the signal to reload
 }
 
-type handHello struct {
-	Now decide.Time `json:"now"` // of the old one's policy; the new one goes by the same clock
-	// Clock is the old one's, at that moment. Earlier releases tell none: their records hold Unix
-	// microseconds.
+// handoverHello begins the exchange. The successor's is empty.
+type handoverHello struct {
+	PolicyNow decide.Time `json:"now"` // time of the predecessor's policy, which the successor's continues
+	// Clock is the reading of the predecessor's clock that PolicyNow belongs to. Earlier releases send
+	// none; the times in their records are Unix microseconds.
 	Clock clock.Reading `json:"clock,omitzero"`
 }
 
-// handoverState is what an old process leaves.
+// handoverState is the predecessor's state that is not in its log.
 type handoverState struct {
-	Log    string                     `json:"log"` // its file's name
-	Names  map[decide.Endpoint]string `json:"names"`
-	Memory *decide.Memory             `json:"memory"`
-	Waits  map[string]decide.Time     `json:"waits"` // told by endpoints, and not over
-	Calls  []outCall                  `json:"calls"`
+	LogName     string                     `json:"log"`   // file name of the predecessor's log
+	EndpointIDs map[decide.Endpoint]string `json:"names"` // by the predecessor's endpoint numbers
+	Memory      *decide.Memory             `json:"memory"`
+	Waits       map[string]decide.Time     `json:"waits"` // end of the waits that endpoints asked for, by endpoint id
+	Calls       []inFlightCall             `json:"calls"`
 }
 
-// outCall is a message whose call the old process has out and carries to its end.
-type outCall struct {
+// inFlightCall is one message of a call that the predecessor has in flight and finishes. Messages of
+// the same call have the same Call number.
+type inFlightCall struct {
 	ID       string          `json:"id"`
 	Endpoint decide.Endpoint `json:"endpoint"`
 	Call     uint64          `json:"call"`
 }
 
-// handOutcome is what became of such a call.
-type handOutcome struct {
-	ID      string         `json:"id"`
-	What    decide.Outcome `json:"what"`
-	Wait    decide.Time    `json:"wait,omitempty"`
-	Slots   bool           `json:"slots,omitempty"`
-	Crowded bool           `json:"crowded,omitempty"`
-	Settled bool           `json:"settled,omitempty"`
-	Took    decide.Time    `json:"took"`
-	Load    decide.Load    `json:"load"`
-	Status  int            `json:"status,omitempty"`
-	Spoilt  bool           `json:"spoilt,omitempty"`
-	Err     string         `json:"err,omitempty"`
+// handoverOutcome reports the outcome of such a call for one message.
+type handoverOutcome struct {
+	ID           string         `json:"id"`
+	Outcome      decide.Outcome `json:"what"`
+	RetryAfter   decide.Time    `json:"wait,omitempty"`
+	SlotsTaken   bool           `json:"slots,omitempty"`
+	TooManyConns bool           `json:"crowded,omitempty"`
+	Settled      bool           `json:"settled,omitempty"`
+	Elapsed      decide.Time    `json:"took"`
+	Load         decide.Load    `json:"load"`
+	Status       int            `json:"status,omitempty"`
+	Malformed    bool           `json:"spoilt,omitempty"`
+	Err          string         `json:"err,omitempty"`
 }
 
-// handPut is a message that a client of the old process hands in.
-type handPut struct {
-	Rec  *record `json:"rec"`
-	Body []byte  `json:"body"`
+// handoverPut is a message handed in by a client that is still connected to the predecessor.
+type handoverPut struct {
+	Record *record `json:"rec"`
+	Body   []byte  `json:"body"`
 }
 
-type handAnswer struct {
+// handoverReply is the reply to the client of a handoverPut.
+type handoverReply struct {
 	ID    string `json:"id"`
 	Reply string `json:"reply"`
 }
 
-type handSaid struct {
-	ID string `json:"id"`
-	OK bool   `json:"ok"`
+// handoverReplyWritten reports whether the client received the reply.
+type handoverReplyWritten struct {
+	ID      string `json:"id"`
+	Written bool   `json:"ok"`
 }
 
-// peer is the other process.
+// peer is the connection to the other process of a hand-over.
 type peer struct {
-	conn     net.Conn
-	out      *mailbox[handoverMessage]
-	quit     chan struct{}       // it is gone
-	last     chan struct{}       // nothing more is to be said
-	gone     bool                // of the loop
-	puts     map[string]*request // of the loop: handed in there, not heard of yet
-	logClock logClock            // of the instants in records that it hands over
+	conn        net.Conn
+	outbox      *mailbox[handoverMessage]
+	closed      chan struct{}       // closed when the connection has ended
+	finish      chan struct{}       // closed when nothing more will be sent
+	gone        bool                // the other process is gone; used by the loop alone
+	pendingPuts map[string]*request // by id, those whose ReplyWritten has not arrived; used by the loop alone
+	logClock    logClock            // clock of the instants in the records that it hands over
 }
 
-// newPeer hands what the other process says to heard, and nil once it is gone.
-func newPeer(conn net.Conn, heard func(*peer, *handoverMessage)) *peer {
-	p := &peer{conn: conn, out: newMailbox[handoverMessage](), quit: make(chan struct{}), last: make(chan struct{}),
-		puts: map[string]*request{}}
-	go p.write()
+// newPeer starts reading and writing conn. It calls receive with each message of the other process,
+// and with nil when the connection has ended.
+func newPeer(conn net.Conn, receive func(*peer, *handoverMessage)) *peer {
+	p := &peer{conn: conn, outbox: newMailbox[handoverMessage](),
+		closed: make(chan struct{}), finish: make(chan struct{}),
+		pendingPuts: map[string]*request{}}
+	go p.writeLoop()
 	go func() {
-		defer close(p.quit)
+		defer close(p.closed)
 		defer conn.Close()
 		for dec := json.NewDecoder(conn); ; {
-			h := &handoverMessage{}
-			if dec.Decode(h) != nil {
-				heard(p, nil)
+			msg := &handoverMessage{}
+			if dec.Decode(msg) != nil {
+				receive(p, nil)
 				return
 			}
-			heard(p, h)
+			receive(p, msg)
 		}
 	}()
 	return p
 }
 
-func (p *peer) send(h handoverMessage) { p.out.put(h) }
+// send queues a message for the other process.
+func (p *peer) send(msg handoverMessage) { p.outbox.put(msg) }
 
-// write ends with the other process's end of the connection. It leaves the
-// reading be: what was said before that end is still to be heard.
-func (p *peer) write() {
-	var lines []handoverMessage
+// writeLoop writes the queued messages until the connection has ended or finish is closed. A failed
+// write does not stop the reading: what the other process sent before is still to be received.
+func (p *peer) writeLoop() {
+	var messages []handoverMessage
 	enc := json.NewEncoder(p.conn)
-	for last := false; ; {
-		lines = p.out.takeAll(lines)
-		for i := range lines {
-			p.conn.SetWriteDeadline(clock.Deadline(sayWait))
-			if err := enc.Encode(&lines[i]); err != nil {
-				if errors.Is(err, os.ErrDeadlineExceeded) { // it hangs, and half a line is no line
+	for finishing := false; ; {
+		messages = p.outbox.takeAll(messages)
+		for i := range messages {
+			p.conn.SetWriteDeadline(clock.DeadlineIn(peerWriteTimeout))
+			if err := enc.Encode(&messages[i]); err != nil {
+				if errors.Is(err, os.ErrDeadlineExceeded) { // the other process hangs, and part of a line may be written
 					p.conn.Close()
 				}
 				return
 			}
 		}
-		if len(lines) > 0 {
+		if len(messages) > 0 {
 			continue
 		}
-		if last {
+		if finishing {
 			p.conn.(*net.UnixConn).CloseWrite()
 			return
 		}
 		select {
-		case <-p.out.ready:
-		case <-p.quit:
+		case <-p.outbox.ready:
+		case <-p.closed:
 			return
-		case <-p.last:
-			last = true
+		case <-p.finish:
+			finishing = true
 		}
 	}
 }
 
-// meetingPlace is where the processes of one relay meet: those with the same
-// folder. Empty where the path would be too long for a socket.
-func meetingPlace(state string) string {
-	if abs, err := filepath.Abs(state); err == nil {
-		state = abs
+// handoverSocketPath returns the path of the socket on which processes with the same state folder find
+// each other. It is empty if the path would be too long for a socket.
+func handoverSocketPath(stateFolder string) string {
+	if abs, err := filepath.Abs(stateFolder); err == nil {
+		stateFolder = abs
 	}
-	path := filepath.Join(os.TempDir(), fmt.Sprintf("relay-%08x.sock", crc32.ChecksumIEEE([]byte(state))))
-	if len(path) > unixMost {
+	path := filepath.Join(os.TempDir(), fmt.Sprintf("relay-%08x.sock", crc32.ChecksumIEEE([]byte(stateFolder))))
+	if len(path) > maxSocketPath {
 		return ""
 	}
 	return path
 }
 
-// dialPredecessor looks for an old process that still serves; nil where there is none, or
-// none that answers.
+// dialPredecessor connects to a running process of this relay. It returns nil if there is none or it
+// does not reply.
 func (r *Relay) dialPredecessor() *peer {
-	path := meetingPlace(r.cfg.State)
+	path := handoverSocketPath(r.cfg.StateFolder)
 	if path == "" {
 		return nil
 	}
-	conn, err := net.DialTimeout("unix", path, meetWait)
+	conn, err := net.DialTimeout("unix", path, helloTimeout)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
-			r.log.Warn("upgrade: nobody to meet", "err", err)
+			r.log.Warn("upgrade: cannot connect to a predecessor", "err", err)
 		}
 		return nil
 	}
-	p := newPeer(conn, func(p *peer, h *handoverMessage) { r.in.put(event{peer: p, line: h}) })
-	p.send(handoverMessage{Hello: &handHello{}})
-	h := r.awaitMessage(p, meetWait)
-	if h == nil || h.Hello == nil {
-		r.log.Warn("upgrade: the old process does not answer, starting without it")
+	p := newPeer(conn, func(p *peer, msg *handoverMessage) { r.inbox.put(event{peer: p, peerMessage: msg}) })
+	p.send(handoverMessage{Hello: &handoverHello{}})
+	msg := r.awaitMessage(p, helloTimeout)
+	if msg == nil || msg.Hello == nil {
+		r.log.Warn("upgrade: the predecessor does not reply; starting without a hand-over")
 		p.conn.Close()
 		return nil
 	}
-	r.joinPolicyClock(h.Hello)
-	p.logClock = logClock{reading: h.Hello.Clock, latest: h.Hello.Clock.Now, unix: !h.Hello.Clock.Plausible()}
-	r.log.Info("upgrade: met the old process", "its_clock", h.Hello.Now)
+	r.adoptPolicyClock(msg.Hello)
+	p.logClock = logClock{reading: msg.Hello.Clock, latest: msg.Hello.Clock.Now, unix: !msg.Hello.Clock.Plausible()}
+	r.log.Info("upgrade: connected to the predecessor", "its_clock", msg.Hello.PolicyNow)
 	return p
 }
 
-// joinPolicyClock has the policy go by the clock of the old process's policy: what that remembers
-// is told in its moments.
-func (r *Relay) joinPolicyClock(hello *handHello) {
+// adoptPolicyClock sets the epoch so that the policy's time continues that of the predecessor's policy,
+// in which the handed-over state is expressed.
+func (r *Relay) adoptPolicyClock(hello *handoverHello) {
 	now := clock.Read(r.clock)
-	at := now.Now // an older release does not tell when it looked: just now
-	if hello.Clock.Convert(hello.Clock.Now, now).Certain {
-		at = hello.Clock.Now
+	sentAt := now.Now // earlier releases do not report when they read it; take the present
+	if hello.Clock.Convert(hello.Clock.Now, now).SameClock {
+		sentAt = hello.Clock.Now
 	}
-	r.epoch = hello.Now - decide.Time(at)
+	r.epoch = hello.PolicyNow - decide.Time(sentAt)
 }
 
-// awaitMessage waits for the other process's next word; nil where none comes. It is for
-// the start, before the loop runs; what else happens then is booked or kept.
-func (r *Relay) awaitMessage(p *peer, wait time.Duration) *handoverMessage {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
-	var got []event
+// awaitMessage waits for the next message of the other process. It returns nil if none arrives in time
+// or the process is gone. It is used at startup, before the loop runs: other events that arrive
+// meanwhile are handled, and those after the message stay in the inbox.
+func (r *Relay) awaitMessage(p *peer, timeout time.Duration) *handoverMessage {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	var batch []event
 	for {
 		select {
-		case <-r.in.ready:
-		case <-limit.C:
+		case <-r.inbox.ready:
+		case <-timer.C:
 			return nil
 		}
-		got = r.in.takeAll(got)
-		for i, h := range got {
-			if h.peer != p {
-				r.take(h)
+		batch = r.inbox.takeAll(batch)
+		for i, ev := range batch {
+			if ev.peer != p {
+				r.handleEvent(ev)
 				continue
 			}
-			for _, rest := range got[i+1:] {
-				r.in.put(rest)
+			for _, rest := range batch[i+1:] {
+				r.inbox.put(rest)
 			}
-			p.gone = p.gone || h.line == nil
-			return h.line
+			p.gone = p.gone || ev.peerMessage == nil
+			return ev.peerMessage
 		}
 	}
 }
 
-// takeOver takes over what the old process has; nil where that fails, and it then
-// keeps what it has.
-func (r *Relay) takeOver(p *peer, l *logs) *handoverState {
-	p.send(handoverMessage{Take: true})
-	var h *handoverMessage
+// takeOver takes over the predecessor's state and log. It returns nil if that fails; the predecessor
+// then keeps both.
+func (r *Relay) takeOver(p *peer, slots *logs) *handoverState {
+	p.send(handoverMessage{Ready: true})
+	var msg *handoverMessage
 	if !p.gone {
-		h = r.awaitMessage(p, handWait)
+		msg = r.awaitMessage(p, handOverTimeout)
 	}
-	if h == nil || h.Estate == nil {
-		r.log.Error("upgrade: the old process does not hand over, serving beside it")
+	if msg == nil || msg.State == nil {
+		r.log.Error("upgrade: the predecessor does not hand over; serving beside it")
 		p.conn.Close()
 		return nil
 	}
-	e := h.Estate
-	to, err := l.unused()
+	state := msg.State
+	path, err := slots.unused()
 	if err == nil {
-		err = l.folder.Rename(filepath.Join(l.dir, filepath.Base(e.Log)), to)
+		err = slots.folder.Rename(filepath.Join(slots.dir, filepath.Base(state.LogName)), path)
 	}
 	if err != nil {
-		r.log.Error("upgrade: the old process has kept its log, serving beside it", "err", err)
+		r.log.Error("upgrade: cannot take the predecessor's log; serving beside it", "err", err)
 		p.conn.Close()
 		return nil
 	}
-	p.send(handoverMessage{Taken: true})
-	return e
+	p.send(handoverMessage{LogTaken: true})
+	return state
 }
 
-// restoreHandover books what the old process remembers and the calls that it has out.
-func (r *Relay) restoreHandover(e *handoverState, p *peer) map[string]*call {
-	num := func(old decide.Endpoint) decide.Endpoint {
-		if id, ok := e.Names[old]; ok {
+// restoreHandover restores the predecessor's state: the policy's memory, the waits of endpoints and the
+// calls in flight. It returns those calls by message id.
+func (r *Relay) restoreHandover(state *handoverState, p *peer) map[string]*call {
+	currentNum := func(old decide.Endpoint) decide.Endpoint {
+		if id, ok := state.EndpointIDs[old]; ok {
 			x, _ := r.directory.Find(id)
 			return decide.Endpoint(x.Number)
 		}
 		return 0
 	}
-	if e.Memory != nil {
-		for i := range e.Memory.Lanes {
-			l := &e.Memory.Lanes[i]
-			for j := range l.Endpoints {
-				x := &l.Endpoints[j]
-				x.Endpoint = num(x.Endpoint)
+	if state.Memory != nil {
+		for i := range state.Memory.Lanes {
+			lane := &state.Memory.Lanes[i]
+			for j := range lane.Endpoints {
+				x := &lane.Endpoints[j]
+				x.Endpoint = currentNum(x.Endpoint)
 				if at, ok := r.directory.Get(membership.Number(x.Endpoint)); ok {
-					l.Dest = at.Dest // which an older process does not say
+					lane.Dest = at.Dest // earlier releases do not send it
 				}
 			}
-			l.Endpoints = slices.DeleteFunc(l.Endpoints, func(x decide.EndpointMemory) bool { return x.Endpoint == 0 })
+			lane.Endpoints = slices.DeleteFunc(lane.Endpoints, func(x decide.EndpointMemory) bool { return x.Endpoint == 0 })
 		}
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: e.Memory})
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMemory, Memory: state.Memory})
 	}
-	for id, until := range e.Waits {
+	for id, until := range state.Waits {
 		if x, ok := r.directory.Find(id); ok {
 			ep := r.endpoint(decide.Endpoint(x.Number))
 			ep.waitUntil, ep.released = max(ep.waitUntil, until), true
@@ -307,13 +316,13 @@
 		}
 	}
 	calls, byID := map[uint64]*call{}, map[string]*call{}
-	for _, x := range e.Calls {
+	for _, x := range state.Calls {
 		c := calls[x.Call]
 		if c == nil {
-			ep := r.endpoint(num(x.Endpoint))
-			if ep == nil { // off the list by now
-				r.madeUp++
-				ep = &endpoint{num: madeUp | r.madeUp, gone: true, calls: map[*call]bool{}}
+			ep := r.endpoint(currentNum(x.Endpoint))
+			if ep == nil { // no longer listed
+				r.lastUnlistedNum++
+				ep = &endpoint{num: madeUp | r.lastUnlistedNum, gone: true, calls: map[*call]bool{}}
 			}
 			c = &call{ep: ep, written: true, stop: func(error) { p.send(handoverMessage{Cancel: x.ID}) }}
 			c.stage.Store(callSending)
@@ -324,24 +333,24 @@
 	return byID
 }
 
-// acceptSuccessors waits for new processes.
+// acceptSuccessors listens for successor processes until ctx ends.
 func (r *Relay) acceptSuccessors(ctx context.Context) {
-	path := meetingPlace(r.cfg.State)
+	path := handoverSocketPath(r.cfg.StateFolder)
 	if path == "" {
-		r.log.Error("upgrade: TMPDIR is too long for a socket: a new process will start without a word from this one")
+		r.log.Error("upgrade: TMPDIR is too long for a socket path; a successor will start without a hand-over")
 		return
 	}
-	os.Remove(path) // that of a process that is gone, or has handed over
-	ln, err := net.Listen("unix", path)
+	os.Remove(path) // left by a process that is gone or has handed over
+	listener, err := net.Listen("unix", path)
 	if err != nil {
-		r.log.Error("upgrade: no place to meet a new process: it will start without a word from this one", "err", err)
+		r.log.Error("upgrade: cannot listen for a successor; it will start without a hand-over", "err", err)
 		return
 	}
-	ln.(*net.UnixListener).SetUnlinkOnClose(false) // by then it may be the new one's
+	listener.(*net.UnixListener).SetUnlinkOnClose(false) // by then the path may belong to the successor
 	os.Chmod(path, 0o600)
-	defer context.AfterFunc(ctx, func() { ln.Close() })()
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -349,378 +358,386 @@
 			sleep(ctx, 10*time.Millisecond)
 			continue
 		}
-		newPeer(conn, func(p *peer, h *handoverMessage) { r.in.put(event{peer: p, line: h}) })
+		newPeer(conn, func(p *peer, msg *handoverMessage) { r.inbox.put(event{peer: p, peerMessage: msg}) })
 	}
 }
 
-// peerSaid books what another process says.
-func (r *Relay) peerSaid(p *peer, h *handoverMessage) {
-	p.gone = p.gone || h == nil
+// handlePeerMessage handles a message from another process; nil means that the process is gone.
+func (r *Relay) handlePeerMessage(p *peer, msg *handoverMessage) {
+	p.gone = p.gone || msg == nil
 	switch {
-	case p == r.predecessor && h == nil:
-		r.predecessorGone()
+	case p == r.predecessor && msg == nil:
+		r.handlePredecessorGone()
 	case p == r.predecessor:
-		r.fromPredecessor(h)
-	case h == nil:
-		if p == r.successor { // it went before it took over
-			r.log.Warn("upgrade: the new process is gone, serving on")
+		r.handlePredecessorMessage(msg)
+	case msg == nil:
+		if p == r.successor { // it ended before it took over
+			r.log.Warn("upgrade: the successor is gone; continuing to serve")
 			r.successor, r.successorReady = nil, false
-			r.share(false)
+			r.setSharing(false)
 		}
-	case h.Hello != nil && r.successor == nil && r.stopAt.IsZero():
-		r.log.Info("upgrade: a new process starts")
+	case msg.Hello != nil && r.successor == nil && r.stoppingSince.IsZero():
+		r.log.Info("upgrade: a successor has connected")
 		r.successor = p
-		r.share(true)
+		r.setSharing(true)
 		reading := clock.Read(r.clock)
-		p.send(handoverMessage{Hello: &handHello{Now: r.policyTime(reading.Now), Clock: reading}})
-	case h.Take && p == r.successor:
+		p.send(handoverMessage{Hello: &handoverHello{PolicyNow: r.policyTime(reading.Now), Clock: reading}})
+	case msg.Ready && p == r.successor:
 		r.successorReady = true
 	default:
 		p.conn.Close()
 	}
 }
 
-// fromPredecessor books what the old process says of the calls and clients it has left.
-func (r *Relay) fromPredecessor(h *handoverMessage) {
+// handlePredecessorMessage handles a message of the predecessor about its remaining calls and clients.
+func (r *Relay) handlePredecessorMessage(msg *handoverMessage) {
 	switch {
-	case h.Outcome != nil:
-		x := h.Outcome
-		if m := r.ids[x.ID]; m != nil && m.call != nil && m.call.ctx == nil {
-			o := &outcome{what: x.What, wait: x.Wait, slots: x.Slots, crowded: x.Crowded, settled: x.Settled, took: x.Took, load: x.Load,
-				status: x.Status, spoilt: x.Spoilt}
+	case msg.Outcome != nil:
+		x := msg.Outcome
+		if m := r.messagesByID[x.ID]; m != nil && m.call != nil && m.call.ctx == nil {
+			result := &outcome{what: x.Outcome, wait: x.RetryAfter, slots: x.SlotsTaken, crowded: x.TooManyConns,
+				settled: x.Settled, took: x.Elapsed, load: x.Load,
+				status: x.Status, spoilt: x.Malformed}
 			if x.Err != "" {
-				o.err = errors.New(x.Err)
+				result.err = errors.New(x.Err)
 			}
-			r.returned(m.call, m, o)
+			r.handleCallResult(m.call, m, result)
 		}
-	case h.Put != nil && h.Put.Rec != nil:
-		rec := h.Put.Rec
-		rec.Kind, rec.body = recTaken, h.Put.Body
+	case msg.Put != nil && msg.Put.Record != nil:
+		rec := msg.Put.Record
+		rec.Kind, rec.body = recTaken, msg.Put.Body
 		now := clock.Read(r.clock)
-		if c := r.predecessor.logClock.convert(now); !c.Certain {
+		if c := r.predecessor.logClock.convert(now); !c.SameClock {
 			rec.convert(c, now.Now)
 		}
-		q := &request{rec: rec}
+		req := &request{rec: rec}
 		p := r.predecessor
-		q.to = func(reply string) {
-			r.in.put(event{forwarded: q, reply: reply})
-			p.send(handoverMessage{Answer: &handAnswer{rec.ID, reply}})
+		req.to = func(reply string) {
+			r.inbox.put(event{forwarded: req, reply: reply})
+			p.send(handoverMessage{Reply: &handoverReply{rec.ID, reply}})
 		}
-		p.puts[rec.ID] = q
-		r.admit(q)
-	case h.Reload:
-		go r.readAgain(r.reload)
-	case h.Said != nil:
-		if q := r.predecessor.puts[h.Said.ID]; q != nil {
-			delete(r.predecessor.puts, h.Said.ID)
-			r.replyWritten(q, h.Said.OK)
+		p.pendingPuts[rec.ID] = req
+		r.admit(req)
+	case msg.Reload:
+		go r.rereadConfig(r.reload)
+	case msg.ReplyWritten != nil:
+		if req := r.predecessor.pendingPuts[msg.ReplyWritten.ID]; req != nil {
+			delete(r.predecessor.pendingPuts, msg.ReplyWritten.ID)
+			r.replyWritten(req, msg.ReplyWritten.Written)
 		}
 	}
 }
 
-// predecessorGone: what the old process has not reported by now may have run.
-func (r *Relay) predecessorGone() {
+// handlePredecessorGone handles the end of the predecessor. Calls whose outcome it has not reported may
+// have run.
+func (r *Relay) handlePredecessorGone() {
 	p := r.predecessor
 	r.predecessor = nil
-	left := 0
-	for _, m := range r.msgs {
+	unreported := 0
+	for _, m := range r.messages {
 		if m.call != nil && m.call.ctx == nil {
-			left++
-			r.returned(m.call, m, &outcome{what: decide.Cancelled, err: errPredecessorGone})
+			unreported++
+			r.handleCallResult(m.call, m, &outcome{what: decide.Cancelled, err: errPredecessorGone})
 		}
 	}
-	for _, q := range p.puts {
-		// Where an answer went out its client may have it: the message is ours.
-		r.replyWritten(q, q.answered)
+	for _, req := range p.pendingPuts {
+		// A client that was sent its reply may have received it, so the message counts as accepted.
+		r.replyWritten(req, req.answered)
 	}
-	r.log.Info("upgrade: the old process is gone", "calls_unreported", left)
+	r.log.Info("upgrade: the predecessor has ended", "calls_unreported", unreported)
 }
 
 var errPredecessorGone = errors.New("the process that made the call is gone")
 
-// share halves what this process allows itself, or takes all again: while two
-// run, the machine's limits hold for both together.
-func (r *Relay) share(on bool) {
-	r.sharing = on
-	clients, endpoints := r.budget()
+// setSharing halves the limits of this process or restores them. While two processes of a relay run,
+// the limits of the machine apply to both together.
+func (r *Relay) setSharing(sharing bool) {
+	r.sharing = sharing
+	clients, endpoints := r.socketBudget()
 	r.clients.retune(r.cfg, clients)
 	r.pool.tune(&r.cfg.Policy, endpoints)
 	limit := memoryLimit(r.cfg)
-	if on {
+	if sharing {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	if on {
+	if sharing {
 		debug.FreeOSMemory()
 	}
 }
 
-// budget is that of the configuration, or half of it.
-func (r *Relay) budget() (clients, endpoints int) {
-	clients, endpoints = r.cfg.budget()
+// socketBudget returns the configured numbers of sockets for clients and endpoints, halved while
+// another process runs.
+func (r *Relay) socketBudget() (clients, endpoints int) {
+	clients, endpoints = r.cfg.socketBudget()
 	if r.sharing {
 		return clients / 2, endpoints / 2
 	}
 	return clients, endpoints
 }
 
-// memoryLimit is what the runtime keeps to; the rest is for files and stacks.
+// memoryLimit returns the Go runtime's memory limit in bytes: 70% of the configured memory. The rest is
+// for files and stacks.
 func memoryLimit(cfg *Config) int64 { return int64(cfg.Limits.MemoryMB) << 20 / 10 * 7 }
 
-// handOver gives everything to the new process. It reports false where the new
-// one did not take it: then all is as before.
-func (r *Relay) handOver(ln *net.TCPListener) bool {
+// handOver hands over to the successor. It reports false if the successor did not take over; this
+// process then goes on as before.
+func (r *Relay) handOver(listener *net.TCPListener) bool {
 	p := r.successor
 	r.successorReady = false
 	began := r.clock.Now()
-	r.log.Info("upgrade: handing over", "held", r.held, "calls", r.calls)
-	ln.SetDeadline(clock.Past)
-	limit := time.NewTimer(handWait)
-	defer limit.Stop()
-	var kept, got []event
+	r.log.Info("upgrade: handing over", "held", r.heldCount, "calls", r.callsInFlight)
+	listener.SetDeadline(clock.ExpiredDeadline)
+	timeout := time.NewTimer(handOverTimeout)
+	defer timeout.Stop()
+	var deferred, batch []event
 	taken, gone := false, false
-	until := func(done func() bool) bool {
+	waitUntil := func(done func() bool) bool {
 		for !done() && !gone {
 			select {
-			case <-r.in.ready:
-			case <-limit.C:
+			case <-r.inbox.ready:
+			case <-timeout.C:
 				return false
 			}
-			got = r.in.takeAll(got)
-			for _, h := range got {
+			batch = r.inbox.takeAll(batch)
+			for _, ev := range batch {
 				switch {
-				case h.replied != nil || h.unlogged != nil:
-					r.take(h)
-				case h.peer == p && h.line == nil:
+				case ev.replied != nil || ev.unlogged != nil:
+					r.handleEvent(ev)
+				case ev.peer == p && ev.peerMessage == nil:
 					gone = true
-				case h.peer == p:
-					taken = taken || h.line.Taken
+				case ev.peer == p:
+					taken = taken || ev.peerMessage.LogTaken
 				default:
-					kept = append(kept, h)
+					deferred = append(deferred, ev)
 				}
 			}
 		}
 		return done()
 	}
-	ok := until(func() bool { return len(r.waiting) == 0 })
+	ok := waitUntil(func() bool { return len(r.unanswered) == 0 })
 	if ok {
 		r.wal.halt()
-		if ok = r.wal.whole(); !ok { // the new process would go by less than is known here
+		if ok = r.wal.whole(); !ok { // the successor would miss records that exist only in memory
 			r.wal.reopen()
 		}
 	}
 	if ok {
-		p.send(handoverMessage{Estate: r.handoverState()})
-		if ok = until(func() bool { return taken }); !ok {
+		p.send(handoverMessage{State: r.collectHandoverState()})
+		if ok = waitUntil(func() bool { return taken }); !ok {
 			switch err := r.wal.keep(); {
-			case errors.Is(err, fs.ErrNotExist): // its word did not come through, but it has the log
+			case errors.Is(err, fs.ErrNotExist): // its LogTaken did not arrive, but it has the log
 				ok = true
 			case err != nil:
-				r.log.Error("upgrade: the log is closed and cannot be opened again", "err", err)
-				ok = true // the next process finds it
+				r.log.Error("upgrade: cannot reopen the log after a failed hand-over", "err", err)
+				ok = true // the next process recovers the log
 			}
 		}
 	}
 	if !ok {
-		r.log.Error("upgrade: the new process did not take over, serving on", "gone", gone, "waiting", len(r.waiting))
-		ln.SetDeadline(time.Time{})
+		r.log.Error("upgrade: the successor did not take over; continuing to serve", "gone", gone,
+			"waiting", len(r.unanswered))
+		listener.SetDeadline(time.Time{})
 		p.conn.Close()
 		r.successor = nil
-		r.share(false)
+		r.setSharing(false)
 	} else {
 		r.handedOver = true
-		r.log.Info("upgrade: handed over", "took_ms", clock.Since(r.clock, began).Milliseconds(), "calls", r.calls)
+		r.log.Info("upgrade: handed over", "took_ms", clock.Since(r.clock, began).Milliseconds(), "calls", r.callsInFlight)
 	}
-	for _, h := range kept {
-		r.in.put(h)
+	for _, ev := range deferred {
+		r.inbox.put(ev)
 	}
 	if gone && ok {
-		r.in.put(event{peer: p})
+		r.inbox.put(event{peer: p})
 	}
 	return ok
 }
 
-// handoverState tells what is in no log.
-func (r *Relay) handoverState() *handoverState {
-	e := &handoverState{Log: filepath.Base(r.wal.path), Names: map[decide.Endpoint]string{}, Memory: r.policy.Memory(),
-		Waits: map[string]decide.Time{}}
-	for _, l := range e.Memory.Lanes {
-		for _, x := range l.Endpoints {
-			e.Names[x.Endpoint], _ = r.directory.Text(membership.Number(x.Endpoint))
+// collectHandoverState returns the state to hand over that is not in the log.
+func (r *Relay) collectHandoverState() *handoverState {
+	state := &handoverState{LogName: filepath.Base(r.wal.path), EndpointIDs: map[decide.Endpoint]string{},
+		Memory: r.policy.Memory(),
+		Waits:  map[string]decide.Time{}}
+	for _, lane := range state.Memory.Lanes {
+		for _, memory := range lane.Endpoints {
+			state.EndpointIDs[memory.Endpoint], _ = r.directory.Text(membership.Number(memory.Endpoint))
 		}
 	}
 	for num, ep := range r.endpoints {
-		e.Names[num] = ep.id
+		state.EndpointIDs[num] = ep.id
 		if ep.waitUntil > r.now() {
-			e.Waits[ep.id] = ep.waitUntil
+			state.Waits[ep.id] = ep.waitUntil
 		}
 	}
 	calls := map[*call]uint64{}
-	for _, m := range r.msgs {
-		if m.call == nil || m.over {
+	for _, m := range r.messages {
+		if m.call == nil || m.ended {
 			continue
 		}
 		if calls[m.call] == 0 {
 			calls[m.call] = uint64(len(calls) + 1)
 		}
-		e.Calls = append(e.Calls, outCall{m.rec.ID, m.call.ep.num, calls[m.call]})
+		state.Calls = append(state.Calls, inFlightCall{m.rec.ID, m.call.ep.num, calls[m.call]})
 	}
-	slices.SortFunc(e.Calls, func(a, b outCall) int { return int(a.Call) - int(b.Call) })
-	return e
+	slices.SortFunc(state.Calls, func(a, b inFlightCall) int { return int(a.Call) - int(b.Call) })
+	return state
 }
 
-// finishAfterHandover is what is left for a process that has handed over: it sees the calls
-// that are out to their ends, passes on what clients still send, and ends when
-// neither is left.
+// finishAfterHandover is the event loop of a process that has handed over: it reports the outcomes of its
+// calls in flight, passes messages of its remaining clients to the successor, and returns when it has
+// neither calls nor clients.
 func (r *Relay) finishAfterHandover() {
 	r.clients.handOver()
-	r.pool.tune(&r.cfg.Policy, r.calls+1)
+	r.pool.tune(&r.cfg.Policy, r.callsInFlight+1)
 	r.pool.sweep(func(*poolConn) bool { return true })
 	debug.FreeOSMemory()
 	byID := map[string]*message{}
-	for _, m := range r.msgs {
+	for _, m := range r.messages {
 		byID[m.rec.ID] = m
 	}
-	asked := map[string]*request{}
+	forwarded := map[string]*request{}
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	var got []event
+	var batch []event
 	reading := true
 	for lost := false; ; {
 		select {
-		case <-r.in.ready:
+		case <-r.inbox.ready:
 		case <-tick.C:
 		}
-		got = r.in.takeAll(got)
-		for _, h := range got {
+		batch = r.inbox.takeAll(batch)
+		for _, ev := range batch {
 			switch {
-			case h.submitted != nil && lost:
-				h.submitted.answer(resp.Busy(stopRetry))
-			case h.submitted != nil && asked[h.submitted.rec.ID] != nil:
-				h.submitted.answer(resp.Error(errors.New("id is being handed in already")))
-			case h.submitted != nil:
-				asked[h.submitted.rec.ID] = h.submitted
-				r.successor.send(handoverMessage{Put: &handPut{h.submitted.rec, h.submitted.rec.body}})
-			case h.replied != nil:
-				r.successor.send(handoverMessage{Said: &handSaid{h.replied.rec.ID, h.ok}})
-			case h.peer == r.successor && h.line == nil:
-				r.log.Error("upgrade: the new process is gone after it took over")
+			case ev.submitted != nil && lost:
+				ev.submitted.answer(resp.Busy(shutdownRetryMS))
+			case ev.submitted != nil && forwarded[ev.submitted.rec.ID] != nil:
+				ev.submitted.answer(resp.Error(errors.New("id is being handed in already")))
+			case ev.submitted != nil:
+				forwarded[ev.submitted.rec.ID] = ev.submitted
+				r.successor.send(handoverMessage{Put: &handoverPut{ev.submitted.rec, ev.submitted.rec.body}})
+			case ev.replied != nil:
+				r.successor.send(handoverMessage{ReplyWritten: &handoverReplyWritten{ev.replied.rec.ID, ev.ok}})
+			case ev.peer == r.successor && ev.peerMessage == nil:
+				r.log.Error("upgrade: the successor is gone after it took over")
 				lost = true
-				for id, q := range asked {
-					q.answer(resp.Busy(stopRetry))
-					delete(asked, id)
+				for id, req := range forwarded {
+					req.answer(resp.Busy(shutdownRetryMS))
+					delete(forwarded, id)
 				}
-			case h.peer == r.successor && h.line.Answer != nil:
-				if q := asked[h.line.Answer.ID]; q != nil {
-					delete(asked, h.line.Answer.ID)
-					q.answer(h.line.Answer.Reply)
+			case ev.peer == r.successor && ev.peerMessage.Reply != nil:
+				if req := forwarded[ev.peerMessage.Reply.ID]; req != nil {
+					delete(forwarded, ev.peerMessage.Reply.ID)
+					req.answer(ev.peerMessage.Reply.Reply)
 				}
-			case h.peer == r.successor && h.line.Cancel != "":
-				if m := byID[h.line.Cancel]; m != nil && m.call != nil {
+			case ev.peer == r.successor && ev.peerMessage.Cancel != "":
+				if m := byID[ev.peerMessage.Cancel]; m != nil && m.call != nil {
 					m.call.stop(errCancelled)
 				}
-			case h.peer != nil:
-				h.peer.conn.Close()
-			case h.config != nil: // whoever asked means the relay
+			case ev.peer != nil:
+				ev.peer.conn.Close()
+			case ev.config != nil: // the signal was meant for the relay, which the successor is now
 				r.successor.send(handoverMessage{Reload: true})
-			case h.stop:
-				r.stopAt = r.clock.Now()
-			case h.update != nil || h.drains: // a call that waits for a connection must not begin on a drained endpoint
-				r.take(h)
+			case ev.stop:
+				r.stoppingSince = r.clock.Now()
+			case ev.update != nil || ev.drainAnnounced:
+				// A call that waits for a connection must not start at a draining endpoint.
+				r.handleEvent(ev)
 				r.applyAll()
-				r.events = nil
-			case h.unsent != nil || h.call != nil:
-				r.take(h)
+				r.policyEvents = nil
+			case ev.unsent != nil || ev.call != nil:
+				r.handleEvent(ev)
 			}
 		}
-		if reading && !r.stopAt.IsZero() && clock.Since(r.clock, r.stopAt) >= stopReads {
+		if reading && !r.stoppingSince.IsZero() && clock.Since(r.clock, r.stoppingSince) >= stopReadingAfter {
 			reading = false
 			r.clients.cutOff()
 		}
-		over := !r.stopAt.IsZero() && clock.Since(r.clock, r.stopAt) >= stopCalls
-		if conns := r.clients.count(); over || (r.calls == 0 || lost) && len(asked) == 0 && conns == 0 {
-			r.log.Info("upgrade: ended", "calls", r.calls, "clients", conns)
+		timedOut := !r.stoppingSince.IsZero() && clock.Since(r.clock, r.stoppingSince) >= exitAfter
+		if conns := r.clients.count(); timedOut || (r.callsInFlight == 0 || lost) && len(forwarded) == 0 && conns == 0 {
+			r.log.Info("upgrade: finished after hand-over", "calls", r.callsInFlight, "clients", conns)
 			r.successor.flush()
 			return
 		}
 	}
 }
 
-// flush ends the conversation; it returns when the other process has heard all,
-// and closed its end too.
+// flush ends the connection after all queued messages are written, and returns when the other process
+// has closed its end too, or after a timeout.
 func (p *peer) flush() {
-	close(p.last)
+	close(p.finish)
 	select {
-	case <-p.quit:
-	case <-time.After(sayWait):
+	case <-p.closed:
+	case <-time.After(peerWriteTimeout):
 	}
 }
 
-// forwardOutcome reports the end of an attempt to the process that has the message now.
-func (r *Relay) forwardOutcome(m *message, o *outcome) {
-	x := &handOutcome{ID: m.rec.ID, What: o.what, Wait: o.wait, Slots: o.slots, Crowded: o.crowded, Settled: o.settled, Took: o.took,
-		Load: o.load, Status: o.status, Spoilt: o.spoilt}
-	if o.err != nil {
-		x.Err = o.err.Error()
+// forwardOutcome reports the outcome of an attempt to the successor, which owns the message now.
+func (r *Relay) forwardOutcome(m *message, result *outcome) {
+	report := &handoverOutcome{ID: m.rec.ID, Outcome: result.what, RetryAfter: result.wait, SlotsTaken: result.slots,
+		TooManyConns: result.crowded, Settled: result.settled, Elapsed: result.took,
+		Load: result.load, Status: result.status, Malformed: result.spoilt}
+	if result.err != nil {
+		report.Err = result.err.Error()
 	}
-	r.successor.send(handoverMessage{Outcome: x})
+	r.successor.send(handoverMessage{Outcome: report})
 }
 
-// watchLogs takes over what other processes leave, as each of them ends. Logs that cannot be read
-// are tried again.
-func (r *Relay) watchLogs(ctx context.Context, l *logs) {
+// adoptOrphanedLogs takes over the logs of other processes as those end, until none runs or ctx ends.
+// Logs that cannot be read are retried.
+func (r *Relay) adoptOrphanedLogs(ctx context.Context, slots *logs) {
 	unreadable := false
-	for len(l.foreign) > 0 && ctx.Err() == nil {
-		sleep(ctx, watchLocks)
+	for len(slots.foreign) > 0 && ctx.Err() == nil {
+		sleep(ctx, lockPollInterval)
 		var unread []int
-		for slot, lock := l.freed(); slot >= 0; slot, lock = l.freed() {
-			err := r.wal.adopt(slot, lock, func(owed []*record) { r.in.put(event{recovered: owed}) })
+		for slot, lock := slots.freed(); slot >= 0; slot, lock = slots.freed() {
+			err := r.wal.adopt(slot, lock, func(owed []*record) { r.inbox.put(event{recovered: owed}) })
 			if err == nil {
 				continue
 			}
 			lock.Close()
 			unread = append(unread, slot)
 			if !unreadable {
-				r.log.Error("log: what another process left cannot be read", "slot", slot, "err", err)
+				r.log.Error("log: cannot read the log of another process", "slot", slot, "err", err)
 			}
 		}
 		unreadable = len(unread) > 0
-		l.foreign = append(l.foreign, unread...)
-		r.wal.others.Store(l.room())
+		slots.foreign = append(slots.foreign, unread...)
+		r.wal.others.Store(slots.room())
 	}
-	r.in.put(event{soleProcess: true})
+	r.inbox.put(event{soleProcess: true})
 }
 
-// listen gives the clients' listener: the one that the platform holds, where it
-// says so, or one of our own. An address that an old process has not let go of
-// yet is tried again.
-func listen(cfg *Config, patient bool, clk clock.Clock, log *slog.Logger) (*net.TCPListener, error) {
+// listen returns the clients' listener: the socket that the platform passes by ROUTER_SOCKET_FD, if any,
+// otherwise a new one. With retryInUse it waits for an address that the predecessor still holds.
+func listen(cfg *Config, retryInUse bool, clk clock.Clock, log *slog.Logger) (*net.TCPListener, error) {
 	if cfg.SocketFD >= 0 {
-		f := os.NewFile(uintptr(cfg.SocketFD), "clients")
-		if f == nil {
-			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %d is no descriptor", cfg.SocketFD)
+		file := os.NewFile(uintptr(cfg.SocketFD), "clients")
+		if file == nil {
+			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %d is not a valid file descriptor", cfg.SocketFD)
 		}
-		defer f.Close() // the listener has its own
-		ln, err := net.FileListener(f)
+		defer file.Close() // FileListener has duplicated the descriptor
+		listener, err := net.FileListener(file)
 		if err != nil {
 			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %w", err)
 		}
-		t, ok := ln.(*net.TCPListener)
+		tcpListener, ok := listener.(*net.TCPListener)
 		if !ok {
-			ln.Close()
-			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %s is not TCP", ln.Addr().Network())
+			listener.Close()
+			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %s is not TCP", listener.Addr().Network())
 		}
-		if t.Addr().String() != cfg.Listen {
-			log.Warn("the socket handed down is bound elsewhere than listen says", "socket", t.Addr().String(), "listen", cfg.Listen)
+		if tcpListener.Addr().String() != cfg.ListenAddr {
+			log.Warn("the socket of ROUTER_SOCKET_FD is bound to another address than the configured listen",
+				"socket", tcpListener.Addr().String(), "listen", cfg.ListenAddr)
 		}
-		return t, nil
+		return tcpListener, nil
 	}
-	for end := clk.Now().Add(bindWait); ; time.Sleep(5 * time.Millisecond) {
-		ln, err := net.Listen("tcp", cfg.Listen)
+	for deadline := clk.Now().Add(bindTimeout); ; time.Sleep(5 * time.Millisecond) {
+		listener, err := net.Listen("tcp", cfg.ListenAddr)
 		if err == nil {
-			return ln.(*net.TCPListener), nil
+			return listener.(*net.TCPListener), nil
 		}
-		if !patient || !errors.Is(err, syscall.EADDRINUSE) || clk.Now() > end {
+		if !retryInUse || !errors.Is(err, syscall.EADDRINUSE) || clk.Now() > deadline {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -316,7 +316,7 @@
 	t.Setenv("TMPDIR", s.env["TMPDIR"])
 	for name, lines := range map[string]string{"gone at once": "", "gone after hello": `{"hello":{}}`,
 		"gone after take": `{"hello":{}}{"take":true}`, "noise": "\x00\xff{{", "hangs": `{"hello":{}}{"take":true}`} {
-		conn, err := net.Dial("unix", meetingPlace(s.env["ROUTER_STATE"]))
+		conn, err := net.Dial("unix", handoverSocketPath(s.env["ROUTER_STATE"]))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -428,7 +428,7 @@
 	if h := <-said; h != nil {
 		t.Fatalf("heard %+v", h)
 	}
-	<-hears.quit
+	<-hears.closed
 }
 
 // Guards an upgrade where no socket is handed down: the new process listens as
--- a/internal/relay/hangup.go
+++ b/internal/relay/hangup.go
@@ -44,7 +44,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc.ending = true
-	cc.SetReadDeadline(clock.Past)
+	cc.SetReadDeadline(clock.ExpiredDeadline)
 }
 
 // answerRest ends the reader of a connection that is of no more use, and answers
@@ -108,7 +108,7 @@
 		return
 	}
 	until := clk.Now().Add(wait)
-	conn.SetReadDeadline(clock.Deadline(wait))
+	conn.SetReadDeadline(clock.DeadlineIn(wait))
 	n, _ := io.CopyN(io.Discard, conn, lingerMost)
 	if n == lingerMost { // it may read what it was told before the reset
 		time.Sleep(clock.Until(clk, until))
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -1,6 +1,6 @@
-// Package relay is the real relay round package decide: clients, endpoints,
-// discovery and the log on one side, the policy on the other. It decides
-// nothing; the policy does.
+// Package relay connects the decision module in package decide to the outside world: client
+// connections, calls to endpoints, discovery and the write-ahead log. All scheduling decisions are
+// made by the policy in package decide; this package reports events to it and carries out its actions.
 package relay
 
 import (
@@ -21,173 +21,176 @@
 	"troutusher/internal/resp"
 )
 
-// Figures of a planned end. A relay has 3.7 s from SIGTERM until it is killed.
+// Shutdown and startup times. The shutdown times count from SIGTERM; a relay is killed 3.7 s after it.
 const (
-	stopListen = 1000 * time.Millisecond // new connections still come for a while
-	stopUnsafe = 1200 * time.Millisecond // no unsafe call begins after this: cut short, it would be lost
-	stopSends  = 2200 * time.Millisecond // no call at all
-	stopReads  = 3100 * time.Millisecond // no more is read of what clients send
-	stopCalls  = 3300 * time.Millisecond // what is out by then stays open in the log
-	stopRetry  = 400                     // ms after which a client may come again, to another relay
-	firstList  = 1500 * time.Millisecond // how long the start waits for discovery
-	firstNews  = 300 * time.Millisecond  // the same where a list is known: clients have waited enough
-	forgetGone = decide.Time(10e6)       // how long an endpoint that left is remembered
-	// policyEpoch is the policy's time at the clock's origin. Whatever an earlier process left lies
-	// behind it, and the policy knows no time below one.
+	closeListenerAfter    = 1000 * time.Millisecond // until then clients may still connect
+	stopUnsafeCallsAfter  = 1200 * time.Millisecond // an unsafe message whose call is cut short would be lost
+	stopCallsAfter        = 2200 * time.Millisecond // no call of any class begins after this
+	stopReadingAfter      = 3100 * time.Millisecond // nothing more is read from clients after this
+	exitAfter             = 3300 * time.Millisecond // calls still in flight then stay open in the log
+	shutdownRetryMS       = 400                     // ms after which a refused client may retry, at another relay
+	initialListTimeout    = 1500 * time.Millisecond // how long the start waits for the first list
+	knownListTimeout      = 300 * time.Millisecond  // the same if the configuration has a list: clients are waiting
+	goneEndpointRetention = decide.Time(10e6)       // how long an endpoint that left the list is remembered
+	// policyEpoch is the policy's time at the clock's origin. It is large so that times left by an
+	// earlier process, which lie before the origin, stay positive: the policy requires times of 1 or more.
 	policyEpoch = decide.Time(1 << 45)
 )
 
-// message is what the loop knows of a message from when it is handed in until
-// it is over and its last call is back.
+// message is the loop's state of a message, from when a client hands it in until it has ended and its
+// last call has returned.
 type message struct {
-	num              uint32
-	rec              *record
-	req              *request // until it is answered
-	acknowledged     bool     // its client knows that it is taken on
-	logged           bool     // the log has it, or will
-	over             bool     // the policy has ended it, or was told so
-	tries            int
-	sent             clock.Instant // its last attempt
-	doubt            clock.Instant // the first attempt that may have run; zero for none
-	until            decide.Time   // when its last send times out
-	windowUnknown    bool          // an earlier process made the attempt that may have run, and its time is not known
-	pending          *call         // waits for the clients of all its messages to have heard
-	ending           *record       // its end, likewise
-	call             *call         // out
-	cancelling       bool          // the policy has called its attempt off in this step
-	recoveredUntried bool          // by this start, taken on and never tried, and neither called nor ended since
-}
-
-// repeatBy is the moment from which a message may not be sent again, since an attempt
-// that may have run is longer ago than repeats are dropped; zero for never.
-func (m *message) repeatBy() clock.Instant {
-	c := m.rec.Rules
+	num                uint32
+	rec                *record
+	req                *request      // the client's request; nil once the message is refused or submitted to the log
+	acknowledged       bool          // the client has received the reply that the message is accepted
+	logged             bool          // its record has been submitted to the log
+	ended              bool          // the policy has ended it, or has been told that it ended
+	attempts           int           // attempts so far, counting those of earlier processes
+	lastAttemptAt      clock.Instant // start of the last attempt
+	inDoubtSince       clock.Instant // start of the first attempt that may have run; zero if there is none
+	attemptDeadline    decide.Time   // when the last attempt times out
+	dedupWindowUnknown bool          // an earlier process made the attempt that may have run, at an unknown time
+	pendingCall        *call         // not started yet: it waits until the clients of all its messages have their replies
+	pendingNotice      *record       // the message's end, held back until the client has its reply
+	call               *call         // the call in flight
+	cancelling         bool          // the policy cancelled the attempt in the current step
+	recoveredUntried   bool          // recovered by this process without an attempt, and neither called nor ended since
+}
+
+// retryDeadline returns the moment from which the message must not be sent again, because the
+// endpoint's deduplication window for an attempt that may have run is over. It is zero if there is none.
+func (m *message) retryDeadline() clock.Instant {
+	rules := m.rec.Rules
 	switch {
-	case m.doubt.IsZero() || c == nil || c.Repeat != decide.Keyed:
+	case m.inDoubtSince.IsZero() || rules == nil || rules.Repeat != decide.Keyed:
 		return 0
-	case m.windowUnknown:
+	case m.dedupWindowUnknown:
 		return 1
 	}
-	return m.doubt + clock.Instant(c.DedupWindow)
+	return m.inDoubtSince + clock.Instant(rules.DedupWindow)
 }
 
-// windowClosed gives the latest moment, in the policy's time, of an attempt whose window for
-// repeats is over by now.
-func windowClosed(rules *decide.Class, now decide.Time) decide.Time {
+// latestExpiredAttempt returns the latest start of an attempt, in the policy's time, whose
+// deduplication window is over at now.
+func latestExpiredAttempt(rules *decide.Class, now decide.Time) decide.Time {
 	return max(now-rules.DedupWindow, 1)
 }
 
-// event is something that the loop is told.
+// event is one input of the loop. Usually one field is set; the comments name those that go together.
 type event struct {
-	submitted   *request
-	replied     *request           // with ok
-	unlogged    *request           // the log could not take it
-	update      *membership.Update // a list that was read whole
-	drains      bool               // a list being read says that endpoints drain
-	config      *Config            // a new one
-	call        *call              // with result; of msg alone, where that is set
-	msg         *message
-	peer        *peer // another process of this relay says hand, or is gone
-	line        *handoverMessage
-	recovered   []*record // left by a process that has ended
-	soleProcess bool      // no other process of this relay runs any more
-	forwarded   *request  // answered with reply, by way of another process
-	reply       string
-	unsent      *message // its attempt did not leave; with call and result
-	probed      decide.Endpoint
-	result      *outcome
-	ok          bool
-	stop        bool
-	log         logState // it has changed
-}
-
-// Relay is one running relay.
+	submitted      *request
+	replied        *request           // its reply was written if ok is set, otherwise the client is gone
+	unlogged       *request           // the log could not record it
+	update         *membership.Update // a list that was read completely
+	drainAnnounced bool               // a list that is still being read marks endpoints as draining
+	config         *Config            // a new configuration
+	call           *call              // returned with result; for msg alone if that is set
+	msg            *message
+	peer           *peer // another process of this relay sent peerMessage, or is gone if that is nil
+	peerMessage    *handoverMessage
+	recovered      []*record // messages left by a process that has ended
+	soleProcess    bool      // no other process of this relay runs any more
+	forwarded      *request  // of a client of the predecessor; it was answered with reply
+	reply          string
+	unsent         *message        // its attempt was not sent; call and result are set too
+	probedEndpoint decide.Endpoint // its probe ended with result
+	result         *outcome
+	ok             bool
+	stop           bool
+	logState       logState // the log's new state, if it changed
+}
+
+// Relay is a running relay.
 type Relay struct {
-	cfg            *Config
-	log            *slog.Logger
-	policy         *decide.Policy
-	in             *mailbox[event]
-	wal            *wal
-	notices        *notices
-	discovery      *discovery
-	agent          string // the address that both of them use
-	clock          clock.Clock
-	epoch          decide.Time // the policy's time at the clock's origin
-	lastNum        uint32
-	madeUp         decide.Endpoint // the last number made up
-	lastCall       uint64
-	msgs           map[uint32]*message
-	ids            map[string]*message
-	past           endedReplies
-	waiting        map[*request]*message // whose clients have no answer yet
-	directory      *membership.Directory
-	applying       *membership.Update // a list that is being put in force
-	turn           turn
-	changes        []membership.Change
-	view           []membership.Endpoint
-	drains         atomic.Bool
-	endpoints      map[decide.Endpoint]*endpoint // those that something is known or out of
-	leaving        []*endpoint
-	events         []decide.Event
-	actions        []decide.Action
-	forming        []*call    // of the step that is carried out
-	off            []*message // called off in it
-	timers         timers
-	held           int
-	calls          int
-	stopAt         clock.Instant
-	pool           *pool
-	clients        *clients
-	predecessor    *peer // an old process that carries its last calls and clients for this one
-	successor      *peer // a new process that is to take over, or has
-	successorReady bool  // the successor is ready
-	handedOver     bool  // it has taken over
-	sharing        bool  // another process runs beside this one
-	untried        untried
-	outages        map[string]decide.OutageMemory // found by this start, of endpoints that no list has named yet
-	reload         Reload
-	ctx            context.Context
+	cfg               *Config
+	log               *slog.Logger
+	policy            *decide.Policy
+	inbox             *mailbox[event]
+	wal               *wal
+	notices           *notices
+	discovery         *discovery
+	discoveryAddr     string // the address that discovery and notices use
+	clock             clock.Clock
+	epoch             decide.Time // the policy's time at the clock's origin
+	lastMessageNum    uint32
+	lastUnlistedNum   decide.Endpoint // last number given to an endpoint that no list names
+	lastCallNum       uint64
+	messages          map[uint32]*message
+	messagesByID      map[string]*message // those that the policy holds
+	endedReplies      endedReplies
+	unanswered        map[*request]*message // requests whose clients have no reply yet
+	directory         *membership.Directory
+	pendingUpdate     *membership.Update // a list that is being applied piece by piece
+	applySlice        turn               // time slice for applying it
+	changeBuffer      []membership.Change
+	endpointBuffer    []membership.Endpoint
+	drainPending      atomic.Bool                   // drainAnnounced is in the inbox and not handled yet
+	endpoints         map[decide.Endpoint]*endpoint // those with calls in flight or state to remember
+	forgetCandidates  []*endpoint                   // to be checked for whether they can be forgotten
+	policyEvents      []decide.Event                // input of the policy's next step
+	actions           []decide.Action
+	formingCalls      []*call    // calls formed in the current step
+	cancelledMessages []*message // messages whose attempts were cancelled in the current step
+	timers            timers
+	heldCount         int // messages that the policy holds
+	callsInFlight     int
+	stoppingSince     clock.Instant // when the stop was requested; zero before
+	pool              *pool
+	clients           *clients
+	predecessor       *peer // the process that handed over to this one and finishes its last calls and clients
+	successor         *peer // the process that takes over from this one, or has done so
+	successorReady    bool  // the successor is ready to take over
+	handedOver        bool  // the successor has taken over
+	sharing           bool  // another process of this relay runs beside this one
+	untried           untriedCounts
+	unlistedOutages   map[string]decide.OutageMemory // recovered at startup, of endpoints that no list has named yet
+	reload            Reload
+	ctx               context.Context
 
 	listener   *net.TCPListener
-	listenErr  error // why there is none, where it was to be opened early
-	recovering bool  // the state folder has not been read yet
-	logFails   bool  // nothing can be written to it
+	listenErr  error // why listening early failed
+	recovering bool  // the state folder has failed since the start and has not been read yet
+	logFailing bool  // nothing can be written to the log
 }
 
-// untried counts what this process found taken on and never tried: what was taken on
-// is to be tried, through restarts too.
-type untried struct{ found, called, ended int }
+// untriedCounts counts the messages that an earlier process accepted without any attempt. Accepted
+// messages must be tried, also across restarts.
+type untriedCounts struct{ found, called, ended int }
 
-// logUntried logs it once there is nothing open of it, and at the end of the process.
-func (r *Relay) logUntried(last bool) {
-	u := r.untried
-	if open := u.found - u.called - u.ended; u.found > 0 && (open == 0 || last) {
-		r.log.Info("resumed untried", "found", u.found, "called", u.called, "ended_without", u.ended, "open", open)
+// logUntried logs the counts of recovered untried messages once none is open, and at the end of the process.
+func (r *Relay) logUntried(final bool) {
+	counts := r.untried
+	if open := counts.found - counts.called - counts.ended; counts.found > 0 && (open == 0 || final) {
+		r.log.Info("resumed untried", "found", counts.found, "called", counts.called,
+			"ended_without", counts.ended, "open", open)
 	}
 }
 
+// now returns the present moment in the policy's time.
 func (r *Relay) now() decide.Time { return r.policyTime(r.clock.Now()) }
 
-// policyTime gives a moment as the policy's time.
+// policyTime converts an instant to the policy's time.
 func (r *Relay) policyTime(t clock.Instant) decide.Time { return decide.Time(t) + r.epoch }
 
-// instant gives the moment of the policy's time.
+// instant converts the policy's time to an instant.
 func (r *Relay) instant(t decide.Time) clock.Instant { return clock.Instant(t - r.epoch) }
 
-// Run serves until stop is closed and the end is made, or something fails that
-// a relay cannot go on without. It tells the time by clk.
-func Run(cfg *Config, clk clock.Clock, log *slog.Logger, stop <-chan struct{}, re Reload) error {
+// Run serves until the shutdown that follows the closing of stop is complete, until the process has
+// handed over to a successor and finished its own calls, or until an error that prevents serving.
+// All times are taken from clk.
+func Run(cfg *Config, clk clock.Clock, log *slog.Logger, stop <-chan struct{}, reload Reload) error {
 	policy, err := decide.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, policy: policy, in: newMailbox[event](), clock: clk, epoch: policyEpoch, ctx: ctx,
-		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*request]*message{},
+	r := &Relay{cfg: cfg, log: log, policy: policy, inbox: newMailbox[event](), clock: clk, epoch: policyEpoch, ctx: ctx,
+		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*request]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: cfg.Known}
 	if cfg.KnownErr != nil {
-		log.Error("the list in the configuration is not taken", "err", cfg.KnownErr)
+		log.Error("cannot use the endpoint list in the configuration", "err", cfg.KnownErr)
 	}
 	if r.directory == nil {
 		r.directory = membership.NewDirectory(directoryLimit(&cfg.Limits))
@@ -195,62 +198,64 @@
 	policy.Use(r)
 	r.pool = newPool(clk, 0, 0, 0)
 	go r.pool.run(ctx)
-	r.clients = newClients(cfg, clk, log, func(q *request) { r.in.put(event{submitted: q}) },
-		func(q *request, ok bool) { r.in.put(event{replied: q, ok: ok}) })
-	if cfg.Ops != "" {
-		go openOps(ctx, cfg.Ops, r.clients.opsCalls(), clk, log)
+	r.clients = newClients(cfg, clk, log, func(req *request) { r.inbox.put(event{submitted: req}) },
+		func(req *request, ok bool) { r.inbox.put(event{replied: req, ok: ok}) })
+	if cfg.OpsAddr != "" {
+		go openOps(ctx, cfg.OpsAddr, r.clients.opsCalls(), clk, log)
 	}
 	go func() {
 		<-stop
-		r.in.put(event{stop: true})
+		r.inbox.put(event{stop: true})
 	}()
 	defer func() {
 		if r.listener != nil {
 			r.listener.Close()
 		}
 	}()
-	var held *logs
-	if !r.whenFolderWorks(func() (err error) {
-		held, err = holdLogs(cfg.logFolder(), cfg.State)
+	var slots *logs
+	if !r.retryUntilFolderWorks(func() (err error) {
+		slots, err = holdLogs(cfg.logFolder(), cfg.StateFolder)
 		return err
 	}) {
 		return nil
 	}
-	defer held.release()
-	r.share(len(held.foreign) > 0)
+	defer slots.release()
+	r.setSharing(len(slots.foreign) > 0)
 	predecessor := r.dialPredecessor()
-	known := int64(-1)
+	knownRevision := int64(-1)
 	if n, _ := r.directory.Len(); n > 0 {
-		known = r.directory.Revision()
+		knownRevision = r.directory.Revision()
 	}
-	r.discovery = newDiscovery(cfg.Discovery, cfg.Policy.Relays, known, clk, log, r.begin)
+	r.discovery = newDiscovery(cfg.DiscoveryAddr, cfg.Policy.Relays, knownRevision, clk, log, r.begin)
 	r.discovery.grace = time.Duration(cfg.Policy.DrainGrace) * time.Microsecond / 2
-	r.notices = newNotices(cfg.Discovery, clk, log, func(id string) { r.wal.submit(&record{Kind: recEnd, ID: id}, nil) })
-	r.agent, r.reload = cfg.Discovery, re
+	r.notices = newNotices(cfg.DiscoveryAddr, clk, log,
+		func(id string) { r.wal.submit(&record{Kind: recEnd, ID: id}, nil) })
+	r.discoveryAddr, r.reload = cfg.DiscoveryAddr, reload
 	go r.discovery.run(ctx)
-	go r.follow(ctx, re)
-	r.firstList(known >= 0)
+	go r.watchReloads(ctx, reload)
+	r.awaitInitialList(knownRevision >= 0)
 
-	var out map[string]*call // that the old process carries
+	var predecessorCalls map[string]*call // calls that the predecessor finishes, by message id
 	if predecessor != nil {
-		if e := r.takeOver(predecessor, held); e != nil {
-			out = r.restoreHandover(e, predecessor)
+		if state := r.takeOver(predecessor, slots); state != nil {
+			predecessorCalls = r.restoreHandover(state, predecessor)
 			r.predecessor = predecessor
-			go func() { // the old process may have been told of a newer one meanwhile
-				if again, err := re.Read(); err == nil && !reflect.DeepEqual(again.text, cfg.text) {
-					r.in.put(event{config: again})
+			go func() { // the configuration may have changed since this process read it
+				if latest, err := reload.Read(); err == nil && !reflect.DeepEqual(latest.rawConfig, cfg.rawConfig) {
+					r.inbox.put(event{config: latest})
 				}
 			}()
 		}
 	}
-	var owed []*record
-	if !r.whenFolderWorks(func() (err error) {
-		r.wal, owed, err = openWAL(held, int64(cfg.Limits.DiskMB)<<20, func(id string) bool { return out[id] != nil }, clk, log)
+	var unfinished []*record
+	if !r.retryUntilFolderWorks(func() (err error) {
+		r.wal, unfinished, err = openWAL(slots, int64(cfg.Limits.DiskMB)<<20,
+			func(id string) bool { return predecessorCalls[id] != nil }, clk, log)
 		return err
 	}) {
 		return nil
 	}
-	r.watchLog()
+	r.watchLogHealth()
 	r.wal.start()
 	defer func() {
 		if !r.handedOver {
@@ -258,386 +263,390 @@
 		}
 	}()
 	go r.notices.run(ctx)
-	r.rememberEnded(r.wal.ended())
-	if len(out) == 0 && r.predecessor == nil { // an old process that hands over tells more
+	r.restoreEndedReplies(r.wal.ended())
+	if len(predecessorCalls) == 0 && r.predecessor == nil { // a predecessor that hands over reports the outages itself
 		r.resumeOutages(r.wal.outages())
 	}
-	r.restore(owed, out)
+	r.restoreMessages(unfinished, predecessorCalls)
 	r.recovering = false
 	r.step()
-	ln, err := r.open()
+	listener, err := r.openListener()
 	if err != nil {
 		return err
 	}
 	go r.acceptSuccessors(ctx)
-	go r.watchLogs(ctx, held)
+	go r.adoptOrphanedLogs(ctx, slots)
 	endpoints, destinations := r.directory.Len()
-	log.Info("ready", "name", cfg.Name, "listen", ln.Addr().String(), "endpoints", endpoints, "destinations", destinations, "owed", len(owed),
-		"out", len(out), "beside_another", r.sharing)
-	r.loop(ln)
+	log.Info("ready", "name", cfg.Name, "listen", listener.Addr().String(), "endpoints", endpoints,
+		"destinations", destinations, "owed", len(unfinished),
+		"out", len(predecessorCalls), "beside_another", r.sharing)
+	r.loop(listener)
 	return nil
 }
 
-// firstList waits a while for the whole list: the one in the configuration may
-// be old, and an endpoint that drained since must not be sent to. Where
-// discovery is silent the old one has to do.
-func (r *Relay) firstList(known bool) {
-	wait := firstList
-	if known {
-		wait = firstNews
-	}
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
-	var got []event
-	for heard := false; ; {
+// awaitInitialList waits for a full list from discovery: the one in the configuration may be out of
+// date, and an endpoint that has started draining since must receive no calls. If discovery does not
+// respond in time, the list in the configuration is used.
+func (r *Relay) awaitInitialList(hasKnownList bool) {
+	wait := initialListTimeout
+	if hasKnownList {
+		wait = knownListTimeout
+	}
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
+	var batch []event
+	for received := false; ; {
 		select {
-		case <-r.in.ready:
-			got = r.in.takeAll(got)
-			for _, h := range got {
-				r.take(h)
-				heard = heard || h.update != nil
+		case <-r.inbox.ready:
+			batch = r.inbox.takeAll(batch)
+			for _, ev := range batch {
+				r.handleEvent(ev)
+				received = received || ev.update != nil
 			}
 			r.applyAll()
-			if heard {
+			if received {
 				return
 			}
-		case <-limit.C:
-			r.log.Warn("discovery is silent: the list in the configuration is used")
+		case <-timeout.C:
+			r.log.Warn("no list from discovery in time; using the list in the configuration")
 			return
 		}
 	}
 }
 
-// restore takes up what an earlier process left owed. What is in out has a call
-// that this process carries on with.
-func (r *Relay) restore(owed []*record, out map[string]*call) {
-	for _, rec := range owed {
-		if r.ids[rec.ID] != nil {
-			continue // one owner per id
+// restoreMessages takes over the unfinished messages of an earlier process. Those in predecessorCalls
+// have a call in flight that the predecessor finishes and reports.
+func (r *Relay) restoreMessages(records []*record, predecessorCalls map[string]*call) {
+	for _, rec := range records {
+		if r.messagesByID[rec.ID] != nil {
+			continue // an id has one message at a time
 		}
 		m := r.newMessage(rec)
-		m.acknowledged, m.logged, m.tries, m.sent, m.doubt = true, true, rec.Tries, rec.Out, rec.Doubt
-		m.windowUnknown = rec.WindowUnknown
+		m.acknowledged, m.logged, m.attempts, m.lastAttemptAt, m.inDoubtSince = true, true, rec.Tries, rec.Out, rec.Doubt
+		m.dedupWindowUnknown = rec.WindowUnknown
 		if rec.Notice != "" {
-			m.over = true
-			r.drop(m)
+			m.ended = true
+			r.dropMessage(m)
 			r.notices.owed.Add(1)
 			r.notices.in.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
 			continue
 		}
-		if rec.Rules == nil { // written before logs kept them
+		if rec.Rules == nil { // a record of an earlier release, which did not log them
 			if class, ok := r.cfg.classes[rec.Class]; ok {
 				rec.Rules, rec.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
-			} else { // nothing is known of its effect
-				m.over = true
-				r.drop(m)
-				r.end(m, endGivenUp, 0)
+			} else { // whether the message may be repeated is not known
+				m.ended = true
+				r.dropMessage(m)
+				r.reportEnd(m, endGivenUp, 0)
 				continue
 			}
 		}
-		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1, Rules: rec.Rules, Most: rec.Most,
+		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1,
+			Rules: rec.Rules, Most: rec.Most,
 			Left: r.policyTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
 		if rec.DoubtZone != "" {
 			if e.DoubtIn = place(r.cfg.zones, rec.DoubtZone); e.DoubtIn < 0 {
-				e.DoubtIn-- // a zone that is no more, and that of no endpoint
+				e.DoubtIn-- // a zone that is no longer configured, which no endpoint matches
 			}
 		}
-		r.directory.Name(rec.Dest) // once, or it would not have been taken on
+		r.directory.Name(rec.Dest) // a list has named it, or the message would not have been accepted
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 			e.Tenant = t
 		}
 		if rec.Doubt != 0 {
 			e.DoubtAt = r.policyTime(rec.Doubt)
 			if rec.WindowUnknown {
-				e.DoubtAt = windowClosed(rec.Rules, r.now())
+				e.DoubtAt = latestExpiredAttempt(rec.Rules, r.now())
 			}
 		}
-		if c := out[rec.ID]; c != nil {
+		if c := predecessorCalls[rec.ID]; c != nil {
 			m.call = c
 			c.msgs = append(c.msgs, m)
 			if c.out++; c.out == 1 {
 				c.ep.calls[c] = true
-				r.calls++
-				r.lastCall++
-				c.num = r.lastCall
+				r.callsInFlight++
+				r.lastCallNum++
+				c.num = r.lastCallNum
 			}
 			e.OutOn, e.OutAt, e.Call = c.ep.num, r.policyTime(rec.Out), c.num
 		} else if m.recoveredUntried = rec.Tries == 0; m.recoveredUntried {
 			r.untried.found++
 		}
-		r.events = append(r.events, e)
+		r.policyEvents = append(r.policyEvents, e)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
 			"may_have_run", rec.Doubt != 0, "out", m.call != nil, "left", time.Duration(e.Left)*time.Microsecond)
 	}
 }
 
+// newMessage adds a message to those that the policy holds.
 func (r *Relay) newMessage(rec *record) *message {
-	r.lastNum++
-	m := &message{num: r.lastNum, rec: rec}
-	r.msgs[m.num], r.ids[rec.ID] = m, m
-	r.held++
+	r.lastMessageNum++
+	m := &message{num: r.lastMessageNum, rec: rec}
+	r.messages[m.num], r.messagesByID[rec.ID] = m, m
+	r.heldCount++
 	return m
 }
 
-// loop is the one goroutine that the policy belongs to: it drains what has
-// happened, steps the policy, and carries out what it says.
-func (r *Relay) loop(ln *net.TCPListener) {
+// loop is the event loop, the only goroutine that uses the policy: it takes the events from the inbox,
+// steps the policy, and carries out the policy's actions. It returns at the end of the shutdown or of
+// a hand-over.
+func (r *Relay) loop(listener *net.TCPListener) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	listening, reading := true, true
-	var got []event
+	var batch []event
 	for {
 		wait := time.Hour
 		if at := r.timers.next(); at > 0 {
 			wait = time.Duration(at-r.now()+1) * time.Microsecond
 		}
-		if !r.stopAt.IsZero() {
+		if !r.stoppingSince.IsZero() {
 			wait = min(wait, 20*time.Millisecond)
 		}
-		if r.applying != nil {
-			if wait = 0; r.turn.over(r.clock.Now()) {
+		if r.pendingUpdate != nil {
+			if wait = 0; r.applySlice.over(r.clock.Now()) {
 				wait = listRest
 			}
 		}
 		timer.Reset(max(wait, 0))
 		select {
-		case <-r.in.ready:
+		case <-r.inbox.ready:
 		case <-timer.C:
 		}
-		got = r.in.takeAll(got)
-		for i := range got {
-			r.take(got[i])
+		batch = r.inbox.takeAll(batch)
+		for i := range batch {
+			r.handleEvent(batch[i])
 		}
-		if r.applying != nil {
+		if r.pendingUpdate != nil {
 			r.apply()
 		}
-		if r.timers.due(r.now()) {
-			r.events = append(r.events, decide.Event{Kind: decide.EvTimer})
+		if r.timers.popDue(r.now()) {
+			r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvTimer})
 		}
-		if len(r.events) > 0 {
+		if len(r.policyEvents) > 0 {
 			r.step()
 		}
-		if r.successorReady && r.handOver(ln) {
-			ln.Close()
+		if r.successorReady && r.handOver(listener) {
+			listener.Close()
 			r.finishAfterHandover()
 			return
 		}
-		if r.stopAt.IsZero() {
+		if r.stoppingSince.IsZero() {
 			continue
 		}
-		gone := clock.Since(r.clock, r.stopAt)
-		if listening && gone >= stopListen {
+		elapsed := clock.Since(r.clock, r.stoppingSince)
+		if listening && elapsed >= closeListenerAfter {
 			listening = false
-			ln.Close()
+			listener.Close()
 		}
-		if reading && gone >= stopReads {
+		if reading && elapsed >= stopReadingAfter {
 			reading = false
 			r.clients.cutOff()
 		}
-		// A client may have written its request, or half of it, as its connection was to
-		// go, and an answer may be given but not written; a notice may not have arrived.
-		idle := len(r.waiting) == 0 && r.calls == 0 && (r.held == 0 || gone >= stopSends) &&
+		// Client connections and notices count too: a client may have sent a request, or part of one,
+		// while its connection was being closed, a reply may not be written yet, and a notice may not
+		// have been delivered.
+		idle := len(r.unanswered) == 0 && r.callsInFlight == 0 && (r.heldCount == 0 || elapsed >= stopCallsAfter) &&
 			r.clients.count() == 0 && r.notices.owed.Load() == 0
-		if !listening && idle || gone >= stopCalls {
+		if !listening && idle || elapsed >= exitAfter {
 			r.logUntried(true)
-			r.log.Info("stopped", "held", r.held, "calls", r.calls)
+			r.log.Info("stopped", "held", r.heldCount, "calls", r.callsInFlight)
 			return
 		}
 	}
 }
 
-// tooLateToSend reports whether a call of a message is no longer begun, since the
-// process will not be there for its end. The policy goes on to hold it to be
-// out; the next process takes the message up from the log.
-func (r *Relay) tooLateToSend(m *message) bool {
-	if r.stopAt.IsZero() {
+// tooLateToCall reports whether the process may exit before a call of the message would end, so that
+// none is started. The policy goes on to count the attempt as in flight; the next process recovers the
+// message from the log.
+func (r *Relay) tooLateToCall(m *message) bool {
+	if r.stoppingSince.IsZero() {
 		return false
 	}
-	last := stopSends
+	cutoff := stopCallsAfter
 	if m.rec.Rules.Repeat == decide.Unsafe {
-		last = stopUnsafe
+		cutoff = stopUnsafeCallsAfter
 	}
-	return clock.Since(r.clock, r.stopAt) >= last
+	return clock.Since(r.clock, r.stoppingSince) >= cutoff
 }
 
-// take books one event and says it in the policy's words.
-func (r *Relay) take(h event) {
+// handleEvent applies one event to the relay's state and adds the policy events that follow from it.
+func (r *Relay) handleEvent(ev event) {
 	switch {
-	case h.submitted != nil:
-		r.admit(h.submitted)
-	case h.replied != nil:
-		r.replyWritten(h.replied, h.ok)
-	case h.unlogged != nil:
-		r.notLogged(h.unlogged)
-	case h.update != nil:
-		r.update(h.update)
-	case h.drains:
+	case ev.submitted != nil:
+		r.admit(ev.submitted)
+	case ev.replied != nil:
+		r.replyWritten(ev.replied, ev.ok)
+	case ev.unlogged != nil:
+		r.handleUnlogged(ev.unlogged)
+	case ev.update != nil:
+		r.update(ev.update)
+	case ev.drainAnnounced:
 		r.drained()
-	case h.config != nil:
-		r.reconfigure(h.config)
-	case h.peer != nil:
-		r.peerSaid(h.peer, h.line)
-	case h.recovered != nil:
-		r.restore(h.recovered, nil)
-	case h.soleProcess:
-		r.share(false)
-	case h.log != logUnchanged:
-		r.logChanged(h.log)
-	case h.forwarded != nil:
-		h.forwarded.answered = true
-		if h.reply != resp.OK && r.predecessor != nil {
-			delete(r.predecessor.puts, h.forwarded.rec.ID)
-		}
-	case h.stop && r.stopAt.IsZero():
-		r.stopAt = r.clock.Now()
-		r.log.Info("stopping", "held", r.held, "calls", r.calls)
+	case ev.config != nil:
+		r.applyConfig(ev.config)
+	case ev.peer != nil:
+		r.handlePeerMessage(ev.peer, ev.peerMessage)
+	case ev.recovered != nil:
+		r.restoreMessages(ev.recovered, nil)
+	case ev.soleProcess:
+		r.setSharing(false)
+	case ev.logState != logUnchanged:
+		r.handleLogState(ev.logState)
+	case ev.forwarded != nil:
+		ev.forwarded.answered = true
+		if ev.reply != resp.OK && r.predecessor != nil {
+			delete(r.predecessor.pendingPuts, ev.forwarded.rec.ID)
+		}
+	case ev.stop && r.stoppingSince.IsZero():
+		r.stoppingSince = r.clock.Now()
+		r.log.Info("stopping", "held", r.heldCount, "calls", r.callsInFlight)
 		r.clients.closeIdle()
-	case h.unsent != nil:
-		r.finished(h.unsent, h.call, h.result)
-	case h.call != nil:
-		r.returned(h.call, h.msg, h.result)
-	case h.probed != 0:
-		r.events = append(r.events, decide.Event{Kind: decide.EvProbed, Endpoint: h.probed,
-			Outcome: h.result.what, Took: h.result.took, Load: h.result.load})
-	}
-}
-
-// admit shows a message to the policy. Whether it is taken on shows in the
-// step: what the policy ends there is refused with no further ado.
-func (r *Relay) admit(q *request) {
-	switch old := r.ids[q.rec.ID]; {
-	case !r.stopAt.IsZero():
-		q.answer(resp.Busy(stopRetry))
+	case ev.unsent != nil:
+		r.handleAttemptEnd(ev.unsent, ev.call, ev.result)
+	case ev.call != nil:
+		r.handleCallResult(ev.call, ev.msg, ev.result)
+	case ev.probedEndpoint != 0:
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvProbed, Endpoint: ev.probedEndpoint,
+			Outcome: ev.result.what, Took: ev.result.took, Load: ev.result.load})
+	}
+}
+
+// admit checks a submitted message and passes it to the policy. The next step decides whether it is
+// accepted: a message that the policy ends there is refused.
+func (r *Relay) admit(req *request) {
+	switch existing := r.messagesByID[req.rec.ID]; {
+	case !r.stoppingSince.IsZero():
+		req.answer(resp.Busy(shutdownRetryMS))
 		return
-	case r.recovering: // it may be ours already
-		q.answer(resp.Busy(logRetry))
+	case r.recovering: // the log may hold it already
+		req.answer(resp.Busy(logFailureRetryMS))
 		return
-	case old != nil && old.acknowledged: // it is ours already
-		q.answer(resp.OK)
+	case existing != nil && existing.acknowledged: // accepted before
+		req.answer(resp.OK)
 		return
-	case old != nil:
-		q.answer(resp.Error(errors.New("id is being handed in already")))
+	case existing != nil:
+		req.answer(resp.Error(errors.New("id is being handed in already")))
 		return
-	case r.past.reply(q.rec.ID) != "": // it was ours: sent once more it could run again
-		q.answer(r.past.reply(q.rec.ID))
+	case r.endedReplies.reply(req.rec.ID) != "": // accepted and ended before: sent once more it could run again
+		req.answer(r.endedReplies.reply(req.rec.ID))
 		return
-	case !r.directory.Named(q.rec.Dest):
-		// It would be held for nothing. One whose endpoints are only gone for now
-		// has been named.
-		q.answer(resp.Error(fmt.Errorf("dest: no list names %d", q.rec.Dest)))
+	case !r.directory.Named(req.rec.Dest):
+		// Nothing could be sent to it. A destination whose endpoints are only temporarily gone has been
+		// named before.
+		req.answer(resp.Error(fmt.Errorf("dest: no list names %d", req.rec.Dest)))
 		return
-	case r.cfg.Policy.MaxHeld > 0 && r.held >= r.cfg.Policy.MaxHeld:
-		q.answer(resp.Busy(0))
+	case r.cfg.Policy.MaxHeld > 0 && r.heldCount >= r.cfg.Policy.MaxHeld:
+		req.answer(resp.Busy(0))
 		return
-	case r.logFails:
-		q.answer(resp.Busy(logRetry))
+	case r.logFailing:
+		req.answer(resp.Busy(logFailureRetryMS))
 		return
 	}
-	// It was read under the settings of that moment; those of this one bind.
-	class, ok := r.cfg.classes[q.rec.Class]
+	// The settings may have changed since the request was parsed; the current ones apply.
+	class, ok := r.cfg.classes[req.rec.Class]
 	if !ok {
-		q.answer(resp.Error(fmt.Errorf("c: unknown class %q", q.rec.Class)))
+		req.answer(resp.Error(fmt.Errorf("c: unknown class %q", req.rec.Class)))
 		return
 	}
-	q.rec.Rules, q.rec.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
+	req.rec.Rules, req.rec.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
 	tenant := -1
-	if t, ok := r.cfg.tenants[q.rec.Tenant]; ok {
+	if t, ok := r.cfg.tenants[req.rec.Tenant]; ok {
 		tenant = t
 	}
-	m := r.newMessage(q.rec)
-	m.req = q
-	r.waiting[q] = m
-	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
-		Dest: q.rec.Dest, Tenant: tenant, Left: r.policyTime(q.rec.Deadline) - r.now()})
+	m := r.newMessage(req.rec)
+	m.req = req
+	r.unanswered[req] = m
+	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
+		Dest: req.rec.Dest, Tenant: tenant, Left: r.policyTime(req.rec.Deadline) - r.now()})
 }
 
-// replyWritten: the client has its answer, or left before it.
-func (r *Relay) replyWritten(q *request, ok bool) {
-	m := r.waiting[q]
+// replyWritten handles the end of writing a reply: the client has received it, or has disconnected before.
+func (r *Relay) replyWritten(req *request, written bool) {
+	m := r.unanswered[req]
 	if m == nil {
 		return
 	}
-	delete(r.waiting, q)
-	if !ok {
+	delete(r.unanswered, req)
+	if !written {
 		r.withdraw(m)
 		return
 	}
 	m.acknowledged = true
-	r.log.Debug("taken", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "left_ms", r.leftMS(m))
-	if c := m.pending; c != nil {
-		r.launch(c)
+	r.log.Debug("taken", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "left_ms", r.remainingMS(m))
+	if c := m.pendingCall; c != nil {
+		r.startCall(c)
 	}
-	if e := m.ending; e != nil {
-		m.ending = nil
-		r.end(m, e.Notice, e.RetryMS)
+	if notice := m.pendingNotice; notice != nil {
+		m.pendingNotice = nil
+		r.reportEnd(m, notice.Notice, notice.RetryMS)
 	}
 }
 
-// notLogged: the message could not be logged, so it is not taken on.
-func (r *Relay) notLogged(q *request) {
-	if m := r.waiting[q]; m != nil {
-		delete(r.waiting, q)
+// handleUnlogged refuses a message that could not be logged.
+func (r *Relay) handleUnlogged(req *request) {
+	if m := r.unanswered[req]; m != nil {
+		delete(r.unanswered, req)
 		r.withdraw(m)
 	}
-	q.answer(resp.Busy(logRetry))
+	req.answer(resp.Busy(logFailureRetryMS))
 }
 
-// withdraw: nobody wants the message any more, and nobody was told it is ours.
+// withdraw ends a message whose client was not told that it is accepted: nobody is owed its outcome.
 func (r *Relay) withdraw(m *message) {
 	if m.logged {
 		r.wal.submit(&record{Kind: recEnd, ID: m.rec.ID}, nil)
 	}
-	m.ending = nil
-	if !m.over {
-		m.over = true
-		r.drop(m)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+	m.pendingNotice = nil
+	if !m.ended {
+		m.ended = true
+		r.dropMessage(m)
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
 	}
-	if m.pending != nil {
-		r.pull(m)
+	if m.pendingCall != nil {
+		r.removeFromPendingCall(m)
 	}
 }
 
-// drop: the policy holds the message no longer.
-func (r *Relay) drop(m *message) {
-	r.held--
-	delete(r.ids, m.rec.ID)
-	if m.call == nil && m.pending == nil {
-		delete(r.msgs, m.num)
+// dropMessage removes a message that the policy no longer holds. While it has a call it stays in messages.
+func (r *Relay) dropMessage(m *message) {
+	r.heldCount--
+	delete(r.messagesByID, m.rec.ID)
+	if m.call == nil && m.pendingCall == nil {
+		delete(r.messages, m.num)
 	}
 }
 
-// endedReplies holds the answers to messages that were taken on and are over, should
-// one be handed in once more under the same id: by a client whose connection
-// broke, or by a peer that repeats what it has seen. None is forgotten before a
-// turn has passed since its end.
+// endedReplies holds the replies for accepted messages that have ended, in case one is handed in again
+// under the same id: by a client whose connection broke, or by a peer that repeats messages. Two
+// generations are kept, so that a reply is kept for at least the retention time after the message's end.
 type endedReplies struct {
-	fresh, old map[string]string
-	turnedAt   decide.Time
+	current, previous map[string]string
+	rotatedAt         decide.Time
 }
 
-func (p *endedReplies) add(id, reply string, now, turn decide.Time) {
-	if p.fresh == nil || now-p.turnedAt >= turn {
-		p.fresh, p.old, p.turnedAt = map[string]string{}, p.fresh, now
+func (p *endedReplies) add(id, reply string, now, retention decide.Time) {
+	if p.current == nil || now-p.rotatedAt >= retention {
+		p.current, p.previous, p.rotatedAt = map[string]string{}, p.current, now
 	}
-	p.fresh[id] = reply
+	p.current[id] = reply
 }
 
-// reply is empty where the id is not known.
-func (p *endedReplies) reply(id string) string { return cmp.Or(p.fresh[id], p.old[id]) }
+// reply returns the reply for a message id, or "" if none is kept.
+func (p *endedReplies) reply(id string) string { return cmp.Or(p.current[id], p.previous[id]) }
 
-// remember keeps how a message ended, for as long as any message may live.
-func (r *Relay) remember(m *message, reply string) {
-	turn := decide.Time(0)
-	for _, c := range r.cfg.Policy.Classes {
-		turn = max(turn, c.Deadline)
+// rememberReply keeps the reply that states how a message ended, for the longest deadline of any class.
+func (r *Relay) rememberReply(m *message, reply string) {
+	retention := decide.Time(0)
+	for _, class := range r.cfg.Policy.Classes {
+		retention = max(retention, class.Deadline)
 	}
-	r.past.add(m.rec.ID, reply, r.now(), turn)
+	r.endedReplies.add(m.rec.ID, reply, r.now(), retention)
 }
 
-// rememberEnded takes up which messages have ended under an earlier process.
-func (r *Relay) rememberEnded(ended []*record) {
-	for _, rec := range ended {
+// restoreEndedReplies restores the replies for messages that ended under an earlier process.
+func (r *Relay) restoreEndedReplies(records []*record) {
+	for _, rec := range records {
 		reply := resp.OK
 		switch rec.Notice {
 		case endHandedBack:
@@ -645,222 +654,227 @@
 		case endGivenUp:
 			reply = resp.Error(errors.New("given up"))
 		}
-		r.remember(&message{rec: rec}, reply)
+		r.rememberReply(&message{rec: rec}, reply)
 	}
 }
 
-// step lets the policy decide on what has happened, and acts.
+// step passes the collected events to the policy and carries out the actions it returns.
 func (r *Relay) step() {
-	events := r.events
-	r.events = nil
-	fresh := make([]*message, 0, len(events))
+	events := r.policyEvents
+	r.policyEvents = nil
+	submitted := make([]*message, 0, len(events))
 	for i := range events {
 		if events[i].Kind == decide.EvMessage {
-			if m := r.msgs[events[i].Message]; m != nil && m.req != nil {
-				fresh = append(fresh, m)
+			if m := r.messages[events[i].Message]; m != nil && m.req != nil {
+				submitted = append(submitted, m)
 			}
 		}
 	}
 	now := r.now()
 	r.actions = r.policy.Step(now, events, r.actions[:0])
-	// First the ends, so that what was never taken on is not logged; then the
-	// log, so that no send comes before it.
+	// Final actions come first, so that refused messages are not logged; then the log records, so that
+	// no message is sent before it is logged.
 	for i := range r.actions {
-		switch a := &r.actions[i]; a.Kind {
+		switch action := &r.actions[i]; action.Kind {
 		case decide.ActRefuse:
-			r.ended(a, endHandedBack)
+			r.handleFinalAction(action, endHandedBack)
 		case decide.ActFail:
-			r.ended(a, endGivenUp)
+			r.handleFinalAction(action, endGivenUp)
 		}
 	}
-	for _, m := range fresh {
-		if m.req != nil && !m.over {
-			r.takeOn(m)
+	for _, m := range submitted {
+		if m.req != nil && !m.ended {
+			r.acceptMessage(m)
 		}
 	}
 	for i := range r.actions {
-		r.act(now, &r.actions[i])
+		r.performAction(now, &r.actions[i])
 	}
-	r.gathered()
+	r.dispatchCalls()
 }
 
-// gathered ends the calls that no message wants any more, and makes those that
+// dispatchCalls cancels the attempts that the policy cancelled in this step, and starts the calls that
 // the step has formed.
-func (r *Relay) gathered() {
-	for _, m := range r.off {
+func (r *Relay) dispatchCalls() {
+	for _, m := range r.cancelledMessages {
 		if m.call != nil {
-			r.callOff(m.call, m)
+			r.cancelAttempt(m.call, m)
 		}
 	}
-	for _, c := range r.forming {
-		r.launch(c)
+	for _, c := range r.formingCalls {
+		r.startCall(c)
 	}
-	clear(r.off)
-	clear(r.forming)
-	r.off, r.forming = r.off[:0], r.forming[:0]
+	clear(r.cancelledMessages)
+	clear(r.formingCalls)
+	r.cancelledMessages, r.formingCalls = r.cancelledMessages[:0], r.formingCalls[:0]
 }
 
-// takeOn logs a message; its client hears of it once that is done.
-func (r *Relay) takeOn(m *message) {
-	q := m.req
+// acceptMessage logs a message. Its client gets the reply once the record is written.
+func (r *Relay) acceptMessage(m *message) {
+	req := m.req
 	m.req, m.logged = nil, true
 	m.rec.At = r.clock.Now()
 	r.wal.submit(m.rec, func(err error) {
 		if err != nil {
-			r.in.put(event{unlogged: q})
+			r.inbox.put(event{unlogged: req})
 			return
 		}
-		q.answer(resp.OK)
+		req.answer(resp.OK)
 	})
 }
 
-// ended carries out a final answer.
-func (r *Relay) ended(a *decide.Action, word string) {
-	m := r.msgs[a.Message]
-	if m == nil || m.over {
+// handleFinalAction ends a message as the policy decided: given up or handed back.
+func (r *Relay) handleFinalAction(action *decide.Action, outcomeName string) {
+	m := r.messages[action.Message]
+	if m == nil || m.ended {
 		return
 	}
-	m.over = true
-	if m.call != nil { // before anybody is told
+	m.ended = true
+	if m.call != nil { // before the client or the platform is told
 		m.call.takeOut(m)
 	}
-	ms := (a.After + 999) / 1000
-	if q := m.req; q != nil { // not taken on: the client hears it at once
+	retryMS := (action.After + 999) / 1000
+	if req := m.req; req != nil { // not accepted: the client gets the result as its reply
 		m.req = nil
-		delete(r.waiting, q)
-		if word == endHandedBack {
-			q.answer(resp.Busy(ms))
+		delete(r.unanswered, req)
+		if outcomeName == endHandedBack {
+			req.answer(resp.Busy(retryMS))
 		} else {
-			q.answer(resp.Error(errors.New("given up")))
+			req.answer(resp.Error(errors.New("given up")))
 		}
-		r.drop(m)
+		r.dropMessage(m)
 		return
 	}
-	r.drop(m)
-	if word == endHandedBack {
-		r.remember(m, resp.Busy(ms))
+	r.dropMessage(m)
+	if outcomeName == endHandedBack {
+		r.rememberReply(m, resp.Busy(retryMS))
 	} else {
-		r.remember(m, resp.Error(errors.New("given up")))
+		r.rememberReply(m, resp.Error(errors.New("given up")))
 	}
-	r.log.Info("ended", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", word, "tries", m.tries,
-		"left_ms", r.leftMS(m), "found_untried", m.recoveredUntried)
+	r.log.Info("ended", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest,
+		"outcome", outcomeName, "tries", m.attempts,
+		"left_ms", r.remainingMS(m), "found_untried", m.recoveredUntried)
 	if m.recoveredUntried {
 		m.recoveredUntried = false
 		r.untried.ended++
 		r.logUntried(false)
 	}
 	if !m.acknowledged {
-		m.ending = &record{Notice: word, RetryMS: ms}
+		m.pendingNotice = &record{Notice: outcomeName, RetryMS: retryMS}
 		return
 	}
-	r.end(m, word, ms)
+	r.reportEnd(m, outcomeName, retryMS)
 }
 
-// leftMS is what is left of a message's time.
-func (r *Relay) leftMS(m *message) int64 { return clock.Until(r.clock, m.rec.Deadline).Milliseconds() }
+// remainingMS returns the time until a message's deadline, in milliseconds.
+func (r *Relay) remainingMS(m *message) int64 {
+	return clock.Until(r.clock, m.rec.Deadline).Milliseconds()
+}
 
-// end logs how a message ended and has the platform told.
-func (r *Relay) end(m *message, word string, ms int64) {
-	if word == endGivenUp {
-		ms = 0
+// reportEnd logs how a message ended and queues the notice for the platform.
+func (r *Relay) reportEnd(m *message, outcomeName string, retryMS int64) {
+	if outcomeName == endGivenUp {
+		retryMS = 0
 	}
-	n := notice{m.rec.ID, word, ms, m.rec.Deadline}
+	n := notice{m.rec.ID, outcomeName, retryMS, m.rec.Deadline}
 	r.notices.owed.Add(1)
-	// The notice goes out whether or not it could be logged.
-	r.wal.submit(&record{Kind: recEnding, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(error) { r.notices.in.put(n) })
+	// The notice is sent whether or not the record could be written.
+	r.wal.submit(&record{Kind: recEnding, ID: m.rec.ID, Notice: outcomeName, RetryMS: retryMS},
+		func(error) { r.notices.in.put(n) })
 }
 
-// act carries out what is no final answer. What is to be sent or called off is
-// gathered: which messages share a call is seen when all are known.
-func (r *Relay) act(now decide.Time, a *decide.Action) {
-	switch a.Kind {
+// performAction carries out an action that does not end its message. Sends and cancellations are only
+// collected: which messages share a call is known once all actions of the step are.
+func (r *Relay) performAction(now decide.Time, action *decide.Action) {
+	switch action.Kind {
 	case decide.ActSend:
-		m := r.msgs[a.Message]
+		m := r.messages[action.Message]
 		if m == nil {
 			return
 		}
-		m.tries++
-		m.until, m.cancelling = a.At, false
-		m.pending = r.form(a.Endpoint)
-		m.pending.msgs = append(m.pending.msgs, m)
+		m.attempts++
+		m.attemptDeadline, m.cancelling = action.At, false
+		m.pendingCall = r.callForSend(action.Endpoint)
+		m.pendingCall.msgs = append(m.pendingCall.msgs, m)
 	case decide.ActCancel:
-		if m := r.msgs[a.Message]; m != nil && a.Attempt == m.tries-1 {
+		if m := r.messages[action.Message]; m != nil && action.Attempt == m.attempts-1 {
 			switch {
 			case m.call != nil:
 				m.cancelling = true
-				r.off = append(r.off, m)
-			case m.pending != nil:
-				r.pull(m)
+				r.cancelledMessages = append(r.cancelledMessages, m)
+			case m.pendingCall != nil:
+				r.removeFromPendingCall(m)
 			}
 		}
 	case decide.ActTimer:
-		r.timers.add(now + a.After)
+		r.timers.add(now + action.After)
 	case decide.ActProbe:
-		if ep := r.endpoint(a.Endpoint); ep != nil && !ep.gone {
-			h, num := ep.home, a.Endpoint // a is of a buffer that the next step fills again
+		if ep := r.endpoint(action.Endpoint); ep != nil && !ep.gone {
+			conns, num := ep.home, action.Endpoint // copied: the next step overwrites the action
 			go func() {
-				o := probe(r.ctx, h)
-				r.in.put(event{probed: num, result: &o})
+				result := probe(r.ctx, conns)
+				r.inbox.put(event{probedEndpoint: num, result: &result})
 			}()
 		}
 	case decide.ActClose:
-		if ep := r.endpoints[a.Endpoint]; ep != nil && ep.home != nil {
+		if ep := r.endpoints[action.Endpoint]; ep != nil && ep.home != nil {
 			ep.home.closeIdle()
 		}
 	case decide.ActOutage:
-		r.keepOutage(a.Endpoint)
+		r.keepOutage(action.Endpoint)
 	case decide.ActRelease:
-		r.release(a.Endpoint)
+		r.release(action.Endpoint)
 	case decide.ActLog:
-		r.log.Info("policy", "says", a.Text)
+		r.log.Info("policy", "says", action.Text)
 	}
 }
 
-// form gives the call of this step that a send to an endpoint joins. What one
-// step sends to one endpoint travels together, as far as its kind allows.
-func (r *Relay) form(num decide.Endpoint) *call {
+// callForSend returns the call of the current step that the next send to an endpoint joins, a new one
+// if need be. Messages sent to one endpoint in one step share a call, up to the batch size of its kind.
+func (r *Relay) callForSend(num decide.Endpoint) *call {
 	ep := r.endpoint(num)
-	for _, c := range r.forming {
+	for _, c := range r.formingCalls {
 		if ep != nil && c.ep == ep && len(c.msgs) < ep.batch {
 			return c
 		}
 	}
 	c := &call{ep: ep}
-	r.forming = append(r.forming, c)
+	r.formingCalls = append(r.formingCalls, c)
 	return c
 }
 
-// notSent tells the policy of an attempt that never left. The loop comes by
-// again for it.
-func (r *Relay) notSent(m *message, c *call, err error) {
-	r.in.put(event{unsent: m, call: c, result: &outcome{what: decide.NotSent, err: err}})
+// reportNotSent reports an attempt that was not sent. The event goes through the inbox, so that the
+// policy learns of it in its next step.
+func (r *Relay) reportNotSent(m *message, c *call, err error) {
+	r.inbox.put(event{unsent: m, call: c, result: &outcome{what: decide.NotSent, err: err}})
 }
 
-// pull takes a message out of a call that has not begun; the others must not
-// wait for it any longer.
-func (r *Relay) pull(m *message) {
-	c := m.pending
-	m.pending = nil
+// removeFromPendingCall takes a message out of a call that has not started. The call's other messages
+// no longer wait for it.
+func (r *Relay) removeFromPendingCall(m *message) {
+	c := m.pendingCall
+	m.pendingCall = nil
 	c.msgs = slices.DeleteFunc(c.msgs, func(x *message) bool { return x == m })
-	r.notSent(m, c, errCancelled)
-	r.launch(c)
+	r.reportNotSent(m, c, errCancelled)
+	r.startCall(c)
 }
 
-// launch logs the attempts of a call and then makes it, once the client of each
-// of its messages has heard.
-func (r *Relay) launch(c *call) {
+// startCall logs the attempts of a call and then makes it. It does nothing before the clients of all
+// its messages have their replies.
+func (r *Relay) startCall(c *call) {
 	if c.stop != nil || slices.ContainsFunc(c.msgs, func(m *message) bool { return !m.acknowledged }) {
 		return
 	}
 	now := r.now()
 	c.msgs = slices.DeleteFunc(c.msgs, func(m *message) bool {
-		if r.tooLateToSend(m) {
+		if r.tooLateToCall(m) {
 			return true
 		}
-		m.pending = nil
-		if ep := c.ep; ep == nil || ep.gone || ep.waitUntil > now || ep.cell != m.rec.Dest || m.until <= now || m.over ||
-			(part{by: m.repeatBy()}).late(r.instant(now)) {
-			r.notSent(m, c, errNoCall)
+		m.pendingCall = nil
+		if ep := c.ep; ep == nil || ep.gone || ep.waitUntil > now ||
+			ep.cell != m.rec.Dest || m.attemptDeadline <= now || m.ended ||
+			(part{by: m.retryDeadline()}).late(r.instant(now)) {
+			r.reportNotSent(m, c, errNoCall)
 			return true
 		}
 		return false
@@ -868,154 +882,158 @@
 	if len(c.msgs) == 0 {
 		return
 	}
-	// The one that is waited for longest leads: an endpoint may go by the first
-	// message, and once that is over it must not answer for the others.
-	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.until, a.until) })
+	// The message with the latest timeout comes first: an endpoint may take the whole call to end with
+	// its first message, and no longer answer for the others.
+	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.attemptDeadline, a.attemptDeadline) })
 	c.ctx, c.stop = context.WithCancelCause(r.ctx)
 	c.ep.calls[c] = true
-	r.calls++
+	r.callsInFlight++
 	for _, m := range c.msgs {
 		m.call = c
 		c.out++
 		if m.recoveredUntried {
 			m.recoveredUntried = false
 			r.untried.called++
-			r.log.Info("resumed message called", "message", m.rec.ID, "left_ms", r.leftMS(m))
+			r.log.Info("resumed message called", "message", m.rec.ID, "left_ms", r.remainingMS(m))
 			r.logUntried(false)
 		}
 	}
-	h, msgs, loads := c.ep.home, slices.Clone(c.msgs), r.cfg.loads
-	parts := make([]part, 0, len(msgs)) // the log's goroutine alone appends
+	conns, msgs, loadFields := c.ep.home, slices.Clone(c.msgs), r.cfg.loadFields
+	parts := make([]part, 0, len(msgs)) // appended to by the log's goroutine alone
 	for i, m := range msgs {
-		p := part{m: m, rec: m.rec, limit: time.Duration(m.until-now) * time.Microsecond, by: m.repeatBy()}
-		m.sent = r.instant(now)
+		p := part{m: m, rec: m.rec, limit: time.Duration(m.attemptDeadline-now) * time.Microsecond, by: m.retryDeadline()}
+		m.lastAttemptAt = r.instant(now)
 		r.wal.submit(&record{Kind: recAttempt, ID: m.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
 			if err == nil {
 				parts = append(parts, p)
 			} else {
-				r.in.put(event{call: c, msg: m, result: &outcome{what: decide.NotSent, err: errUnlogged}})
+				r.inbox.put(event{call: c, msg: m, result: &outcome{what: decide.NotSent, err: errUnlogged}})
 			}
 			if i < len(msgs)-1 || len(parts) == 0 {
 				return
 			}
-			go c.run(h, parts, loads, func(m *message, o outcome) {
-				r.in.put(event{call: c, msg: m, result: &o})
+			go c.run(conns, parts, loadFields, func(m *message, o outcome) {
+				r.inbox.put(event{call: c, msg: m, result: &o})
 			})
 		})
 	}
 }
 
-// callOff stops waiting for a message of a call. The call itself goes on as
-// long as another of its messages wants it.
-func (r *Relay) callOff(c *call, m *message) {
-	unsent := c.takeOut(m)
-	for _, x := range c.msgs {
-		if x.call == c && !x.cancelling {
-			o := outcome{what: decide.Cancelled, err: errCancelled}
-			if unsent { // and it will not be
-				o.what = decide.NotSent
+// cancelAttempt cancels the attempt of one message of a call. The call itself goes on while another
+// of its messages is not cancelled.
+func (r *Relay) cancelAttempt(c *call, m *message) {
+	takenOut := c.takeOut(m)
+	for _, other := range c.msgs {
+		if other.call == c && !other.cancelling {
+			result := outcome{what: decide.Cancelled, err: errCancelled}
+			if takenOut { // and it will not be sent any more
+				result.what = decide.NotSent
 			}
-			r.in.put(event{call: c, msg: m, result: &o})
+			r.inbox.put(event{call: c, msg: m, result: &result})
 			return
 		}
 	}
 	c.stop(errCancelled)
 }
 
-// waits books a told wait, for the endpoint or for all of its destination's.
-// Calls that still wait for a connection there would begin before it is over:
-// after an outage one may take a second to come up. It binds under this id
-// also if the endpoint leaves and comes back.
-func (r *Relay) waits(told *endpoint, until decide.Time) {
-	bind := func(ep *endpoint) {
+// applyWait applies the wait that an endpoint asked for, to that endpoint alone or to all endpoints of
+// its destination. Calls still waiting for a connection there are stopped, since they could begin
+// before the wait is over: after an outage a connection may take a second to be established. The wait
+// is kept under the endpoint's id, also if the endpoint leaves the list and returns.
+func (r *Relay) applyWait(source *endpoint, until decide.Time) {
+	apply := func(ep *endpoint) {
 		ep.waitUntil = max(ep.waitUntil, until)
 		for c := range ep.calls {
 			c.withhold(errTold)
 		}
 	}
-	if bind(told); told.apart || told.num >= madeUp { // no list says whose the latter is
+	if apply(source); source.apart || source.num >= madeUp { // no list names the destination of an unlisted endpoint
 		return
 	}
-	r.view = r.directory.Of(told.cell, r.view[:0])
-	for i := range r.view {
-		if ep := r.endpoint(decide.Endpoint(r.view[i].Number)); ep != told && !ep.apart {
-			bind(ep)
+	r.endpointBuffer = r.directory.Of(source.cell, r.endpointBuffer[:0])
+	for i := range r.endpointBuffer {
+		if ep := r.endpoint(decide.Endpoint(r.endpointBuffer[i].Number)); ep != source && !ep.apart {
+			apply(ep)
 		}
 	}
 }
 
-// returned books what became of a call, or of one of its messages alone.
-func (r *Relay) returned(c *call, only *message, o *outcome) {
-	if o.wait > 0 {
-		r.waits(c.ep, r.now()+o.wait)
+// handleCallResult applies the result of a call, to all its messages or to only one of them.
+func (r *Relay) handleCallResult(c *call, only *message, result *outcome) {
+	if result.wait > 0 {
+		r.applyWait(c.ep, r.now()+result.wait)
 	}
-	if c.ep.home != nil && c.ep.suspect(o, r.now()) {
+	if c.ep.home != nil && c.ep.suspect(result, r.now()) {
 		c.ep.home.closeIdle()
 	}
 	for _, m := range c.msgs {
 		if m.call != c || only != nil && only != m {
-			continue // it had its outcome before
+			continue // it has its outcome already, or is not the one in question
 		}
-		end := *o
-		if x, ok := o.ends[m.rec.ID]; ok {
-			end.what, end.settled = x.what, x.settled
+		messageResult := *result
+		if x, ok := result.ends[m.rec.ID]; ok {
+			messageResult.what, messageResult.settled = x.what, x.settled
 		}
-		r.finished(m, c, &end)
+		r.handleAttemptEnd(m, c, &messageResult)
 	}
 	if only != nil && c.out == 0 {
-		c.stop(errCancelled) // nobody waits for it any more
+		c.stop(errCancelled) // no message waits for the call any more
 	}
 }
 
-// finished books the end of a message's attempt.
-func (r *Relay) finished(m *message, c *call, o *outcome) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.what, Wait: o.wait,
-		Slots: o.slots, Crowded: o.crowded, Settled: o.settled || m.over, Took: o.took, Load: o.load}
+// handleAttemptEnd applies the outcome of a message's attempt and reports it to the policy.
+func (r *Relay) handleAttemptEnd(m *message, c *call, result *outcome) {
+	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.attempts - 1,
+		Outcome: result.what, Wait: result.wait,
+		Slots: result.slots, Crowded: result.crowded, Settled: result.settled || m.ended,
+		Took: result.took, Load: result.load}
 	if c.ep != nil {
 		e.Endpoint = c.ep.num
 	}
-	logged := m.call == c
-	if logged {
+	started := m.call == c
+	if started {
 		m.call = nil
 		switch {
-		case !m.doubt.IsZero():
-		case o.what.NeverRan(): // so what is not known of an earlier attempt's time does not matter
-			m.windowUnknown = false
+		case !m.inDoubtSince.IsZero():
+		case result.what.NeverRan(): // no attempt so far may have run, so no time is unknown
+			m.dedupWindowUnknown = false
 		default:
-			m.doubt = m.sent
+			m.inDoubtSince = m.lastAttemptAt
 		}
 		if c.out--; c.out == 0 {
-			r.calls--
+			r.callsInFlight--
 			delete(c.ep.calls, c)
 		}
 	}
 	if r.handedOver {
-		r.forwardOutcome(m, o)
+		r.forwardOutcome(m, result)
 		return
 	}
-	r.events = append(r.events, e)
-	if o.what == decide.Delivered {
+	r.policyEvents = append(r.policyEvents, e)
+	if result.what == decide.Delivered {
 		r.log.Debug("delivered", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "took_ms", o.took/1000, "left_ms", r.leftMS(m))
+			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(),
+			"took_ms", result.took/1000, "left_ms", r.remainingMS(m))
 	} else {
 		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "outcome", int(o.what), "status", o.status, "took_ms", o.took/1000,
-			"conn_reused", o.reused, "conn_idle_ms", o.idle.Milliseconds(),
-			"err", o.err)
+			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "outcome", int(result.what),
+			"status", result.status, "took_ms", result.took/1000,
+			"conn_reused", result.reused, "conn_idle_ms", result.idle.Milliseconds(),
+			"err", result.err)
 	}
 	switch {
-	case o.settled:
+	case result.settled:
 		r.wal.submit(&record{Kind: recEnd, ID: m.rec.ID, Ran: true}, nil)
-	case logged:
-		r.wal.submit(&record{Kind: recOutcome, ID: m.rec.ID, Ran: !o.what.NeverRan()}, nil)
+	case started:
+		r.wal.submit(&record{Kind: recOutcome, ID: m.rec.ID, Ran: !result.what.NeverRan()}, nil)
 	}
-	if o.settled && !m.over {
-		m.over = true
-		r.drop(m)
-		r.remember(m, resp.OK)
+	if result.settled && !m.ended {
+		m.ended = true
+		r.dropMessage(m)
+		r.rememberReply(m, resp.OK)
 		return
 	}
-	if m.over {
-		delete(r.msgs, m.num)
+	if m.ended {
+		delete(r.messages, m.num)
 	}
 }
--- a/internal/relay/mailbox.go
+++ b/internal/relay/mailbox.go
@@ -2,17 +2,18 @@
 
 import "sync"
 
-// mailbox is a queue between goroutines that never makes a sender wait, so
-// that the loop and the log, which send to each other, cannot lock each other
-// up. What bounds it is that each message and client has little in it at once.
+// mailbox is an unbounded queue between goroutines. Senders never block, so that the loop and the log,
+// which send to each other, cannot deadlock. Its length stays limited because each message and each
+// client has only few items in it at a time.
 type mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
-	ready chan struct{}
+	ready chan struct{} // holds a value after put, until a receiver takes it
 }
 
 func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{ready: make(chan struct{}, 1)} }
 
+// put appends an item.
 func (m *mailbox[T]) put(v T) {
 	m.mu.Lock()
 	m.items = append(m.items, v)
@@ -23,12 +24,12 @@
 	}
 }
 
-// takeAll empties the mailbox; into is reused as its next store.
-func (m *mailbox[T]) takeAll(into []T) []T {
-	clear(into)
+// takeAll empties the mailbox and returns its items. The mailbox reuses buffer for later items.
+func (m *mailbox[T]) takeAll(buffer []T) []T {
+	clear(buffer)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	got := m.items
-	m.items = into[:0]
-	return got
+	items := m.items
+	m.items = buffer[:0]
+	return items
 }
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -59,13 +59,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &reading{Stage: s, clock: r.clock, put: r.in.put, drain: &r.drains}, nil
+	return &reading{Stage: s, clock: r.clock, put: r.inbox.put, drain: &r.drainPending}, nil
 }
 
 func (l *reading) Entry(e *membership.Entry, bind bool) error {
 	told, err := l.Stage.Entry(e, bind)
 	if told && l.drain.CompareAndSwap(false, true) {
-		l.put(event{drains: true})
+		l.put(event{drainAnnounced: true})
 	}
 	if l.count++; l.count%yieldEach != 0 {
 		return err
@@ -83,9 +83,9 @@
 
 // Endpoints lists a destination's endpoints for the policy.
 func (r *Relay) Endpoints(dest int, into []decide.Entry) []decide.Entry {
-	r.view = r.directory.Of(dest, r.view[:0])
-	for i := range r.view {
-		into = append(into, r.entry(&r.view[i]))
+	r.endpointBuffer = r.directory.Of(dest, r.endpointBuffer[:0])
+	for i := range r.endpointBuffer {
+		into = append(into, r.entry(&r.endpointBuffer[i]))
 	}
 	return into
 }
@@ -108,31 +108,31 @@
 
 // update begins to put a list in force, and does so whole where it is short.
 func (r *Relay) update(u *membership.Update) {
-	r.applying = u
+	r.pendingUpdate = u
 	r.apply()
 }
 
 // apply goes on with it. The rest of a long one has its turn between other things.
 func (r *Relay) apply() {
 	var done bool
-	if r.changes, done = r.applying.Apply(listChunk, r.changes[:0]); done {
-		r.applying = nil
+	if r.changeBuffer, done = r.pendingUpdate.Apply(listChunk, r.changeBuffer[:0]); done {
+		r.pendingUpdate = nil
 	}
 	r.changed()
 }
 
 // applyAll puts all of it in force, where there is nothing else to do.
 func (r *Relay) applyAll() {
-	for r.applying != nil {
+	for r.pendingUpdate != nil {
 		r.apply()
 	}
 }
 
 // drained books what a list that is still being read says to drain.
 func (r *Relay) drained() {
-	r.drains.Store(false)
+	r.drainPending.Store(false)
 	for done := false; !done; {
-		r.changes, done = r.directory.Drained(listChunk, r.changes[:0])
+		r.changeBuffer, done = r.directory.Drained(listChunk, r.changeBuffer[:0])
 		r.changed()
 	}
 }
@@ -141,8 +141,8 @@
 // loop's own endpoints theirs.
 func (r *Relay) changed() {
 	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
-	for i := range r.changes {
-		c := &r.changes[i]
+	for i := range r.changeBuffer {
+		c := &r.changeBuffer[i]
 		if ep := r.endpoints[decide.Endpoint(c.Now.Number)]; ep != nil {
 			r.relist(ep, &c.Now)
 		}
@@ -151,12 +151,12 @@
 		}
 	}
 	if len(e.Entries) > 0 {
-		r.events = append(r.events, e)
+		r.policyEvents = append(r.policyEvents, e)
 	}
-	if len(r.outages) > 0 {
-		ids := make([]string, 0, len(r.changes))
-		for i := range r.changes {
-			id, _ := r.directory.Text(r.changes[i].Now.Number)
+	if len(r.unlistedOutages) > 0 {
+		ids := make([]string, 0, len(r.changeBuffer))
+		for i := range r.changeBuffer {
+			id, _ := r.directory.Text(r.changeBuffer[i].Now.Number)
 			ids = append(ids, id)
 		}
 		r.tellOutages(ids)
@@ -238,7 +238,7 @@
 func (r *Relay) toForget(ep *endpoint) {
 	if !ep.leaving {
 		ep.leaving = true
-		r.leaving = append(r.leaving, ep)
+		r.forgetCandidates = append(r.forgetCandidates, ep)
 	}
 }
 
@@ -246,14 +246,14 @@
 // the list's comings and goings, and what was used once, must not fill the memory.
 func (r *Relay) forget() {
 	now := r.now()
-	for range min(leaveLooks, len(r.leaving)) {
-		ep := r.leaving[0]
-		r.leaving = r.leaving[1:]
+	for range min(leaveLooks, len(r.forgetCandidates)) {
+		ep := r.forgetCandidates[0]
+		r.forgetCandidates = r.forgetCandidates[1:]
 		switch {
 		case !ep.gone && !ep.released: // it came back
 			ep.leaving = false
-		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.goneAt+forgetGone:
-			r.leaving = append(r.leaving, ep)
+		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.goneAt+goneEndpointRetention:
+			r.forgetCandidates = append(r.forgetCandidates, ep)
 		default:
 			if ep.leaving = false; ep.home != nil {
 				ep.home.closeIdle()
--- a/internal/relay/ops.go
+++ b/internal/relay/ops.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		backoff.accepted()
-		conn.SetDeadline(clock.Deadline(opsWait))
+		conn.SetDeadline(clock.DeadlineIn(opsWait))
 		o.mu.Lock()
 		if o.conns = append(o.conns, conn); len(o.conns) > opsMost {
 			o.conns[0].Close() // its own goroutine takes note
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -37,15 +37,16 @@
 // resumeOutages takes up what the log says of outages: at once for endpoints that are
 // listed, for the others when a list names them.
 func (r *Relay) resumeOutages(found []*record) {
-	r.outages = map[string]decide.OutageMemory{}
+	r.unlistedOutages = map[string]decide.OutageMemory{}
 	ids := make([]string, 0, len(found))
 	for _, rec := range found {
-		r.outages[rec.ID] = moved(*rec.Outage, func(t decide.Time) decide.Time { return r.policyTime(clock.Instant(t)) })
+		r.unlistedOutages[rec.ID] = moved(*rec.Outage,
+			func(t decide.Time) decide.Time { return r.policyTime(clock.Instant(t)) })
 		ids = append(ids, rec.ID)
 	}
 	r.tellOutages(ids)
 	if len(found) > 0 {
-		r.log.Info("resumed outages", "found", len(found), "not_listed", len(r.outages))
+		r.log.Info("resumed outages", "found", len(found), "not_listed", len(r.unlistedOutages))
 	}
 }
 
@@ -53,17 +54,17 @@
 func (r *Relay) tellOutages(ids []string) {
 	m := &decide.Memory{}
 	for _, id := range ids {
-		o, found := r.outages[id]
+		o, found := r.unlistedOutages[id]
 		e, listed := r.directory.Find(id)
 		if !found || !listed || e.Phase != membership.Up {
 			continue
 		}
-		delete(r.outages, id)
+		delete(r.unlistedOutages, id)
 		o.Endpoint, o.Dest = decide.Endpoint(e.Number), e.Dest
 		r.endpoint(o.Endpoint) // so that its id is known when it leaves
 		m.Outages = append(m.Outages, o)
 	}
 	if len(m.Outages) > 0 {
-		r.events = append(r.events, decide.Event{Kind: decide.EvMemory, Memory: m})
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMemory, Memory: m})
 	}
 }
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -57,8 +57,8 @@
 		r.step()
 		num := r.named("s-1").num
 		o, known := r.policy.Outage(num)
-		if !known || decide.Time(r.instant(o.FirstBad)) != found[0].Outage.FirstBad || len(r.outages) != 0 {
-			t.Errorf("listed at the start %v: known %v, %+v, want %+v; %d not told", listed, known, o, found[0].Outage, len(r.outages))
+		if !known || decide.Time(r.instant(o.FirstBad)) != found[0].Outage.FirstBad || len(r.unlistedOutages) != 0 {
+			t.Errorf("listed at the start %v: known %v, %+v, want %+v; %d not told", listed, known, o, found[0].Outage, len(r.unlistedOutages))
 		}
 		r.told(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
 		r.step() // nothing is known of what is gone
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -279,7 +279,7 @@
 	if _, err := writeAll(c.Conn, text[:last]); err != nil {
 		return err
 	}
-	c.SetReadDeadline(clock.Deadline(c.home.pool.moment))
+	c.SetReadDeadline(clock.DeadlineIn(c.home.pool.moment))
 	if _, err := c.in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return cmp.Or(err, errUnasked)
 	}
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -11,141 +11,144 @@
 	"troutusher/decide"
 )
 
-// A configuration is read again on SIGHUP. A running relay takes over the
-// settings and the address of discovery, both or neither; name, addresses,
-// folder and limits bind until the next start.
+// The configuration is read again on SIGHUP. A running relay applies the settings and the address of
+// discovery, either both or none of them. Name, addresses, state folder and limits stay as they are
+// until the next start.
 
-// Reload tells a running relay of new configurations.
+// Reload is the source of new configurations for a running relay.
 type Reload struct {
-	Asked <-chan os.Signal        // one value for each time that it is to be read
-	Read  func() (*Config, error) // reads it
+	Requested <-chan os.Signal        // receives a value each time the configuration is to be read again
+	Read      func() (*Config, error) // reads the configuration
 }
 
-// follow reads the configuration whenever that is asked for. One that cannot
-// be read or is wrong changes nothing.
-func (r *Relay) follow(ctx context.Context, re Reload) {
+// watchReloads reads the configuration on each request until ctx ends. A configuration that cannot be
+// read or is invalid changes nothing.
+func (r *Relay) watchReloads(ctx context.Context, reload Reload) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-re.Asked:
+		case <-reload.Requested:
 		}
-		r.readAgain(re)
+		r.rereadConfig(reload)
 	}
 }
 
-func (r *Relay) readAgain(re Reload) {
-	cfg, err := re.Read()
+// rereadConfig reads the configuration and passes it to the loop.
+func (r *Relay) rereadConfig(reload Reload) {
+	cfg, err := reload.Read()
 	if err != nil {
-		r.log.Error("new configuration not taken over, the old one stays", "err", err)
+		r.log.Error("new configuration not applied, keeping the old one", "err", err)
 		return
 	}
-	r.in.put(event{config: cfg})
+	r.inbox.put(event{config: cfg})
 }
 
-// reconfigure takes over what a running relay can. New settings bind for what
-// is handed in from here on. Watch and notices move to a new address, and what
-// was not confirmed at the old one goes out there.
-func (r *Relay) reconfigure(cfg *Config) {
-	if err := cfg.replaces(r.cfg); err != nil {
-		r.log.Error("new configuration not taken over, the old one stays", "err", err)
+// applyConfig applies the parts of a new configuration that a running relay can change. New settings
+// apply to messages handed in from here on. If the address of discovery changes, the watch and the
+// notices move there, including notices that the old address has not confirmed.
+func (r *Relay) applyConfig(cfg *Config) {
+	if err := cfg.checkReplaces(r.cfg); err != nil {
+		r.log.Error("new configuration not applied, keeping the old one", "err", err)
 		return
 	}
 	old := r.cfg
-	if cfg.Name != old.Name || cfg.Listen != old.Listen || cfg.Ops != old.Ops || cfg.State != old.State || cfg.Limits != old.Limits {
-		r.log.Warn("new configuration: name, listen, ops, state and limits wait for the next start")
+	if cfg.Name != old.Name || cfg.ListenAddr != old.ListenAddr || cfg.OpsAddr != old.OpsAddr ||
+		cfg.StateFolder != old.StateFolder || cfg.Limits != old.Limits {
+		r.log.Warn("new configuration: changes of name, listen, ops, state and limits take effect at the next start")
 	}
-	cfg.Name, cfg.Listen, cfg.Ops, cfg.State, cfg.Limits = old.Name, old.Listen, old.Ops, old.State, old.Limits
+	cfg.Name, cfg.ListenAddr, cfg.OpsAddr, cfg.StateFolder, cfg.Limits =
+		old.Name, old.ListenAddr, old.OpsAddr, old.StateFolder, old.Limits
 	r.cfg = cfg
 	if !reflect.DeepEqual(cfg.Policy, old.Policy) {
-		r.events = append(r.events, decide.Event{Kind: decide.EvSettings, Settings: &cfg.Policy})
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSettings, Settings: &cfg.Policy})
 	}
-	clients, endpoints := r.budget()
+	clients, endpoints := r.socketBudget()
 	r.clients.retune(cfg, clients)
 	r.pool.tune(&cfg.Policy, endpoints)
-	r.log.Info("new configuration taken over", "classes", len(cfg.Policy.Classes), "attempts", cfg.Policy.MaxAttempts,
+	r.log.Info("new configuration applied", "classes", len(cfg.Policy.Classes), "attempts", cfg.Policy.MaxAttempts,
 		"settings_changed", !reflect.DeepEqual(cfg.Policy, old.Policy))
-	if cfg.Discovery == r.agent {
+	if cfg.DiscoveryAddr == r.discoveryAddr {
 		return
 	}
-	r.log.Info("new configuration: discovery moves", "from", r.agent, "to", cfg.Discovery)
-	r.agent = cfg.Discovery
-	r.discovery.moves.put(r.agent)
-	r.notices.moves.put(r.agent)
+	r.log.Info("new configuration: discovery address changed", "from", r.discoveryAddr, "to", cfg.DiscoveryAddr)
+	r.discoveryAddr = cfg.DiscoveryAddr
+	r.discovery.moves.put(r.discoveryAddr)
+	r.notices.moves.put(r.discoveryAddr)
 }
 
-// replaces tells why a configuration cannot take the place of a running one:
-// a key that the running one has is missing, which a file written by half or by
-// hand lacks, or it allows no attempts.
-func (c *Config) replaces(old *Config) error {
+// checkReplaces returns an error if c cannot replace the running configuration old: a key of old is
+// missing, as in a file that is only partly written or was edited by hand, or c allows no attempts.
+func (c *Config) checkReplaces(old *Config) error {
 	if c.Policy.MaxAttempts <= 0 && old.Policy.MaxAttempts > 0 {
 		return fmt.Errorf("config: settings.limits.most_tries: %d, want above 0", c.Policy.MaxAttempts)
 	}
-	if key := missing(old.text, c.text, "config"); key != "" {
+	if key := missingKey(old.rawConfig, c.rawConfig, "config"); key != "" {
 		return fmt.Errorf("%s: missing", key)
 	}
 	return nil
 }
 
-// missing names a key of the old object that the new one lacks, or has without
-// a value. The members of a list are measured by what all the old ones have.
-func missing(old, new any, at string) string {
-	switch was := old.(type) {
+// missingKey returns the path of a key that the old value has and the new one lacks or has set to null;
+// "" if there is none. Each object in a new list must have the keys that all objects in the old one have.
+func missingKey(old, new any, path string) string {
+	switch oldValue := old.(type) {
 	case map[string]any:
-		is, _ := new.(map[string]any)
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			v, ok := is[key]
-			if !ok || v == nil && was[key] != nil {
-				return at + "." + key
+		newValue, _ := new.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(oldValue)) {
+			value, ok := newValue[key]
+			if !ok || value == nil && oldValue[key] != nil {
+				return path + "." + key
 			}
-			if k := missing(was[key], v, at+"."+key); k != "" {
-				return k
+			if absent := missingKey(oldValue[key], value, path+"."+key); absent != "" {
+				return absent
 			}
 		}
 	case []any:
-		is, ok := new.([]any)
+		newValue, ok := new.([]any)
 		if !ok {
-			return at
+			return path
 		}
-		all := map[string]any{} // keys of all that are objects
-		for i, x := range was {
-			m, ok := x.(map[string]any)
+		commonKeys := map[string]any{} // the keys that every element has, if all are objects
+		for i, element := range oldValue {
+			object, ok := element.(map[string]any)
 			if !ok {
 				return ""
 			}
 			if i == 0 {
-				maps.Copy(all, m)
+				maps.Copy(commonKeys, object)
 			}
-			maps.DeleteFunc(all, func(k string, _ any) bool { _, ok := m[k]; return !ok })
+			maps.DeleteFunc(commonKeys, func(absent string, _ any) bool { _, ok := object[absent]; return !ok })
 		}
-		for i, x := range is {
-			if k := missing(all, x, fmt.Sprintf("%s[%d]", at, i)); k != "" {
-				return k
+		for i, element := range newValue {
+			if absent := missingKey(commonKeys, element, fmt.Sprintf("%s[%d]", path, i)); absent != "" {
+				return absent
 			}
 		}
 	}
 	return ""
 }
 
-// atEach runs work for one address after another, each until the next is
-// named. work must return when its context ends: nothing of an old address
-// overlaps with the new one.
-func atEach(ctx context.Context, addr string, moves *mailbox[string], work func(ctx context.Context, addr string)) {
+// runPerAddress runs work for an address until another one arrives in moves, then for that one, until
+// ctx ends. work must return when its context ends, so that work for the old and the new address does
+// not overlap.
+func runPerAddress(ctx context.Context, addr string, moves *mailbox[string],
+	work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		addrCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			work(here, addr)
+			work(addrCtx, addr)
 		}()
 		select {
 		case <-ctx.Done():
 		case <-moves.ready:
 		}
-		leave()
+		cancel()
 		<-done
-		if named := moves.takeAll(nil); len(named) > 0 {
-			addr = named[len(named)-1]
+		if addrs := moves.takeAll(nil); len(addrs) > 0 {
+			addr = addrs[len(addrs)-1]
 		}
 	}
 }
