--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-func (c *child) signal(t *testing.T, s syscall.Signal) {
+// signal sends a signal to the relay's process.
+func (c *child) signal(t *testing.T, sig syscall.Signal) {
 	t.Helper()
-	if err := c.cmd.Process.Signal(s); err != nil {
+	if err := c.cmd.Process.Signal(sig); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// rewrite changes the configuration's file.
+// rewrite applies change to the configuration file.
 func rewrite(t *testing.T, env map[string]string, change func(string) string) {
 	t.Helper()
 	path := env["ROUTER_CONFIG"]
@@ -30,35 +31,35 @@
 	}
 }
 
+// moveTo returns a change of the configuration that replaces the discovery address from by that of d.
 func moveTo(d *fakeDiscovery, from string) func(string) string {
 	return func(text string) string {
 		return strings.Replace(text, fmt.Sprintf(`"discovery":%q`, from), fmt.Sprintf(`"discovery":%q`, d.addr()), 1)
 	}
 }
 
-// Guards a running relay against SIGHUP, which ends a process that does not
-// catch it. Watch and notices move to the address in the file, though the
-// environment still names the old one; notices that the old one did not
-// confirm go to the new one; a file that is wrong changes nothing; and the
-// relay goes on serving, moves again, and ends as planned.
+// Guards the reload on SIGHUP, which terminates a process that does not catch it. The watch and the
+// notices move to the discovery address in the file, although the environment still has the old one.
+// Notices that the old address did not confirm are sent to the new one. An invalid or missing file
+// changes nothing. The relay serves throughout, applies a further reload, and stops normally.
 func TestReload(t *testing.T) {
 	before, after, last := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	lost := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
 	first := newFakeDiscovery(t, before.member("s-1", 1), lost.member("s-9", 9))
 	first.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
 	env := testConfig(t, first, 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
+	relay := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id, f string) {
 		t.Helper()
-		if s := cl.put(id, f, nil); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+		if reply := client.put(id, f, nil); reply != "+OK" {
+			t.Fatalf("put %s: got reply %s, want +OK", id, reply)
 		}
 	}
 	put("a", fields("plain", 8000, 1))
 	put("unheard", fields("plain", 600, 9))
 	waitFor(t, "a message at the first endpoint", func() bool { return before.count("a") == 1 })
-	// The load goes on over all that follows.
+	// A load of one message at a time runs during all that follows.
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -70,8 +71,8 @@
 			default:
 			}
 			id := fmt.Sprintf("load%d", i)
-			if s := load.put(id, fields("plain", 8000, 1), nil); s != "+OK" {
-				t.Errorf("under load: %s", s)
+			if reply := load.put(id, fields("plain", 8000, 1), nil); reply != "+OK" {
+				t.Errorf("put under load: got reply %s, want +OK", reply)
 				return
 			}
 			for before.count(id)+after.count(id)+last.count(id) == 0 { // one at a time
@@ -83,11 +84,11 @@
 			}
 		}
 	}()
-	// The second address has a lower revision: the two are not compared.
+	// The list at the second address has a lower revision; revisions of two addresses are not compared.
 	second := newFakeDiscovery(t, after.member("s-1", 1), lost.member("s-9", 9))
 	second.set(func(d *fakeDiscovery) { d.list.Revision = 0 })
 	rewrite(t, env, moveTo(second, first.addr()))
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a watch at the second address", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
@@ -101,11 +102,11 @@
 		return after.count(id) == 1
 	})
 	rewrite(t, env, func(string) string { return "{" })
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	if err := os.Remove(env["ROUTER_CONFIG"]); err != nil {
 		t.Fatal(err)
 	}
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	put("c", fields("plain", 8000, 1))
 	waitFor(t, "service under the old configuration", func() bool { return after.count("c") == 1 })
 	third := newFakeDiscovery(t, last.member("s-1", 1))
@@ -117,7 +118,7 @@
 	if err := os.WriteFile(env["ROUTER_CONFIG"], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a message at the third list's endpoint", func() bool {
 		id := fmt.Sprintf("d%d", seq.Add(1))
 		put(id, fields("plain", 8000, 1))
@@ -127,30 +128,29 @@
 	close(stop)
 	<-done
 	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.fetches }(); fetched != 1 {
-		t.Errorf("the second address was asked %d times for the list", fetched)
+		t.Errorf("got %d requests for the list at the second address, want 1", fetched)
 	}
-	c.signal(t, syscall.SIGTERM)
-	if err := c.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+	relay.signal(t, syscall.SIGTERM)
+	if err := relay.cmd.Wait(); err != nil {
+		t.Errorf("got exit error %v, want none", err)
 	}
 }
 
-// The file wins over the environment once it is read again, and only for
-// discovery.
+// On a reload the file overrides the environment, for the discovery address only.
 func TestReloadPrecedence(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_DISCOVERY"], env["ROUTER_NAME"] = "127.0.0.1:9", "other"
-	get := func(k string) string { return env[k] }
-	start, err := LoadConfig(get)
-	if err != nil || start.Discovery != "127.0.0.1:9" {
-		t.Fatalf("at the start %+v, %v", start, err)
+	getenv := func(k string) string { return env[k] }
+	start, err := LoadConfig(getenv)
+	if err != nil || start.DiscoveryAddr != "127.0.0.1:9" {
+		t.Fatalf("got configuration %+v and error %v at startup, want the discovery address of the environment", start, err)
 	}
-	again, err := ReloadConfig(get)
-	if err != nil || again.Discovery == "127.0.0.1:9" || again.Name != "other" {
-		t.Fatalf("again %+v, %v", again, err)
+	again, err := ReloadConfig(getenv)
+	if err != nil || again.DiscoveryAddr == "127.0.0.1:9" || again.Name != "other" {
+		t.Fatalf("got configuration %+v and error %v on reload, want the file's discovery address", again, err)
 	}
 	rewrite(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
-	if again, err = ReloadConfig(get); err == nil && again.replaces(start) == nil {
-		t.Error("a file without discovery is taken over")
+	if again, err = ReloadConfig(getenv); err == nil && again.checkReplaces(start) == nil {
+		t.Error("got no error for a file without discovery, want it rejected")
 	}
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -300,8 +300,8 @@
 		}
 	}
 	p.add("d", resp.OK, 120, 10)
-	if p.reply("b") != "" || p.reply("c") == "" || len(p.fresh)+len(p.old) != 2 {
-		t.Errorf("kept: %v and %v", p.fresh, p.old)
+	if p.reply("b") != "" || p.reply("c") == "" || len(p.current)+len(p.previous) != 2 {
+		t.Errorf("kept: %v and %v", p.current, p.previous)
 	}
 }
 
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -11,42 +11,45 @@
 )
 
 const (
-	folderRetry = 200 * time.Millisecond // between two tries to read the state folder at the start
-	logRetry    = 500                    // ms after which a client may come again whose request could not be logged
+	folderRetryInterval = 200 * time.Millisecond // between two attempts to read the state folder at startup
+	logFailureRetryMS   = 500                    // ms after which a client may retry a message that could not be logged
 )
 
-// whenFolderWorks does what needs the state folder. While that fails the relay listens and refuses
-// what comes. It reports false where the process is to end first.
-func (r *Relay) whenFolderWorks(operation func() error) bool {
+// retryUntilFolderWorks runs an operation on the state folder and repeats it until it succeeds.
+// Meanwhile the relay accepts connections and refuses messages. It reports false if the process is to
+// stop before the operation has succeeded.
+func (r *Relay) retryUntilFolderWorks(operation func() error) bool {
 	cause := operation()
 	if cause == nil {
 		return true
 	}
 	began := r.clock.Now()
-	r.log.Error("state folder: failing", "folder", r.cfg.State, "operation", "start", "err", cause)
+	r.log.Error("state folder: failing", "folder", r.cfg.StateFolder, "operation", "start", "err", cause)
 	r.recovering = true
-	var kept []event
+	var deferred []event
 	defer func() {
-		for _, h := range kept {
-			r.in.put(h)
+		for _, ev := range deferred {
+			r.inbox.put(ev)
 		}
 	}()
 	for {
-		r.openEarly()
-		kept = r.refuseAll(folderRetry, kept)
-		if r.endedEarly() {
+		r.listenEarly()
+		deferred = r.refuseMessages(folderRetryInterval, deferred)
+		if r.mayExitEarly() {
 			return false
 		}
-		if r.stopAt.IsZero() && operation() == nil {
+		if r.stoppingSince.IsZero() && operation() == nil {
 			break
 		}
 	}
-	r.log.Info("state folder: works again", "folder", r.cfg.State, "after_ms", clock.Since(r.clock, began).Milliseconds())
+	r.log.Info("state folder: works again", "folder", r.cfg.StateFolder,
+		"after_ms", clock.Since(r.clock, began).Milliseconds())
 	return true
 }
 
-// openEarly listens before anything is recovered, unless that is done or another process still does.
-func (r *Relay) openEarly() {
+// listenEarly opens the clients' listener before recovery, unless it is open already or another process
+// still holds the address.
+func (r *Relay) listenEarly() {
 	if r.listener != nil || r.listenErr != nil {
 		return
 	}
@@ -54,48 +57,49 @@
 	switch {
 	case err == nil:
 		r.listener = listener
-		r.share(r.sharing)
+		r.setSharing(r.sharing)
 		go r.clients.serve(listener)
 	case !errors.Is(err, syscall.EADDRINUSE):
 		r.listenErr = err
-		r.log.Error("clients cannot come before the state folder works", "err", err)
+		r.log.Error("cannot listen for clients while the state folder fails", "err", err)
 	}
 }
 
-// refuseAll answers for a while what clients hand in, and keeps what else happens.
-func (r *Relay) refuseAll(wait time.Duration, kept []event) []event {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
+// refuseMessages refuses messages from clients for the given time. It returns deferred with all other
+// events appended, except a stop, which is handled at once.
+func (r *Relay) refuseMessages(wait time.Duration, deferred []event) []event {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		select {
-		case <-r.in.ready:
-		case <-limit.C:
-			return kept
+		case <-r.inbox.ready:
+		case <-timeout.C:
+			return deferred
 		}
-		for _, h := range r.in.takeAll(nil) {
+		for _, ev := range r.inbox.takeAll(nil) {
 			switch {
-			case h.submitted != nil:
-				r.admit(h.submitted)
-			case h.stop:
-				r.take(h)
+			case ev.submitted != nil:
+				r.admit(ev.submitted)
+			case ev.stop:
+				r.handleEvent(ev)
 			default:
-				kept = append(kept, h)
+				deferred = append(deferred, ev)
 			}
 		}
 	}
 }
 
-// endedEarly reports whether a process that is to end without having recovered anything may go.
-func (r *Relay) endedEarly() bool {
-	if r.stopAt.IsZero() {
+// mayExitEarly reports whether a process that is stopping before recovery may exit.
+func (r *Relay) mayExitEarly() bool {
+	if r.stoppingSince.IsZero() {
 		return false
 	}
-	gone := clock.Since(r.clock, r.stopAt)
-	return r.listener == nil || gone >= stopCalls || gone >= stopListen && r.clients.count() == 0
+	elapsed := clock.Since(r.clock, r.stoppingSince)
+	return r.listener == nil || elapsed >= exitAfter || elapsed >= closeListenerAfter && r.clients.count() == 0
 }
 
-// open gives the clients' listener, which may have been opened early.
-func (r *Relay) open() (*net.TCPListener, error) {
+// openListener returns the clients' listener, which listenEarly may have opened.
+func (r *Relay) openListener() (*net.TCPListener, error) {
 	if r.listener != nil || r.listenErr != nil {
 		return r.listener, r.listenErr
 	}
@@ -108,32 +112,32 @@
 	return listener, nil
 }
 
-// logState is news of whether records can be written.
+// logState tells whether records can be written to the log.
 type logState int
 
 const (
 	logUnchanged logState = iota
 	logFailing
-	logWorks
+	logHealthy
 )
 
-// watchLog has the loop told when the log begins to fail and when it works again.
-func (r *Relay) watchLog() {
+// watchLogHealth has an event sent to the loop when the log starts to fail and when it recovers.
+func (r *Relay) watchLogHealth() {
 	r.wal.health.changed = func(failing bool) {
-		state := logWorks
+		state := logHealthy
 		if failing {
 			state = logFailing
 		}
-		r.in.put(event{log: state})
+		r.inbox.put(event{logState: state})
 	}
 	if r.wal.health.failing {
-		r.logChanged(logFailing)
+		r.handleLogState(logFailing)
 	}
 }
 
-// logChanged: while no record can be written nothing is taken on, and the policy holds what
-// must not go out without its record.
-func (r *Relay) logChanged(state logState) {
-	r.logFails = state == logFailing
-	r.events = append(r.events, decide.Event{Kind: decide.EvRecords, Unrecorded: r.logFails})
+// handleLogState records whether the log fails. While it does, no message is accepted, and the policy
+// holds back attempts that must not be sent without a record.
+func (r *Relay) handleLogState(state logState) {
+	r.logFailing = state == logFailing
+	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvRecords, Unrecorded: r.logFailing})
 }
--- a/internal/relay/timers.go
+++ b/internal/relay/timers.go
@@ -6,19 +6,19 @@
 	"troutusher/decide"
 )
 
-// timers are the moments at which the policy wants to be asked again, earliest
-// first. Each is kept until it has come: the policy counts on every one that
-// it asked for, and may have asked for a later one in a step that ran past an
-// earlier one before the loop saw that come.
+// timers holds the times at which the policy asked to be stepped again, earliest first. Each is kept
+// until it is due: the policy relies on every timer it has set, and may set a later one in a step that
+// runs after an earlier one is due but before the loop has noticed that.
 type timers []decide.Time
 
+// add adds a timer; one that is set twice fires once.
 func (t *timers) add(at decide.Time) {
-	if i, have := slices.BinarySearch(*t, at); !have {
+	if i, found := slices.BinarySearch(*t, at); !found {
 		*t = slices.Insert(*t, i, at)
 	}
 }
 
-// next is the earliest moment; 0 for none.
+// next returns the earliest timer, or 0 if there is none.
 func (t timers) next() decide.Time {
 	if len(t) == 0 {
 		return 0
@@ -26,8 +26,8 @@
 	return t[0]
 }
 
-// due takes out what has come by now and reports whether anything had.
-func (t *timers) due(now decide.Time) bool {
+// popDue removes the timers that are due at now and reports whether there were any.
+func (t *timers) popDue(now decide.Time) bool {
 	n := 0
 	for n < len(*t) && (*t)[n] <= now {
 		n++
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -26,7 +26,7 @@
 )
 
 // modelStart is what the clocks show at first.
-var modelStart = clock.Reading{Boot: "model", Now: 1e12, Wall: 1.7e15}
+var modelStart = clock.Reading{BootID: "model", Now: 1e12, Wall: 1.7e15}
 
 // modelChecks is how many histories a run tries unless -rapid.checks says otherwise: a few seconds.
 const modelChecks = "500"
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -216,11 +216,11 @@
 		if w.live["a"] == nil && !strings.Contains(string(b), walMark) {
 			t.Fatal("the sound record is lost")
 		}
-		now := clock.Reading{Boot: "present", Now: 5e6, Wall: 1.7e15}
+		now := clock.Reading{BootID: "present", Now: 5e6, Wall: 1.7e15}
 		w.adoptClock(now, "log")
 		for id, l := range w.live {
 			if rules := l.rec.Rules; rules != nil && rules.Deadline > 0 && rules.Deadline < 1e12 &&
-				w.reader.reading.Boot != now.Boot && l.rec.Deadline > now.Now+clock.Instant(deadlineMost*rules.Deadline) {
+				w.reader.reading.BootID != now.BootID && l.rec.Deadline > now.Now+clock.Instant(deadlineMost*rules.Deadline) {
 				t.Errorf("%q has more time left than its class may have: %d", id, l.rec.Deadline)
 			}
 		}
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -67,16 +67,16 @@
 		return
 	}
 	c := w.reader.convert(now)
-	if !c.Certain {
+	if !c.SameClock {
 		w.log.Warn("log: written by another clock, the time that passed is an estimate", "log", path,
-			"boot", w.reader.reading.Boot, "now", now.Boot, "unix", w.reader.unix, "messages", len(w.live))
+			"boot", w.reader.reading.BootID, "now", now.BootID, "unix", w.reader.unix, "messages", len(w.live))
 	}
 	w.convert(c, now)
 }
 
 // convert turns the instants of all that is kept.
 func (w *wal) convert(c clock.Conversion, now clock.Reading) {
-	if c.Certain {
+	if c.SameClock {
 		return
 	}
 	for _, l := range w.live {
@@ -86,7 +86,7 @@
 		l.rec.Deadline = c.Latest(l.rec.Deadline)
 	}
 	for _, l := range w.out {
-		moved := moved(*l.rec.Outage, func(t decide.Time) decide.Time { return decide.Time(c.Instant(clock.Instant(t))) })
+		moved := moved(*l.rec.Outage, func(t decide.Time) decide.Time { return decide.Time(c.Estimate(clock.Instant(t))) })
 		l.rec.Outage = &moved
 	}
 }
@@ -94,8 +94,8 @@
 // convert turns a message's instants into those of another clock, by an estimate of the time that
 // passed.
 func (t *record) convert(c clock.Conversion, now clock.Instant) {
-	t.Deadline, t.At = c.Instant(t.Deadline), c.Instant(t.At)
-	t.Doubt, t.Out = c.Instant(t.Doubt), c.Instant(t.Out)
+	t.Deadline, t.At = c.Estimate(t.Deadline), c.Estimate(t.At)
+	t.Doubt, t.Out = c.Estimate(t.Doubt), c.Estimate(t.Out)
 	t.WindowUnknown = t.WindowUnknown || t.Doubt != 0 || t.Out != 0
 	if t.Rules != nil { // no message was taken on with more
 		t.Deadline = min(t.Deadline, now+clock.Instant(deadlineMost*t.Rules.Deadline))
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -60,7 +60,7 @@
 }
 
 func testReading() clock.Reading {
-	return clock.Reading{Boot: "boot", Now: clock.Instant(3600e6), Wall: fixtureWall}
+	return clock.Reading{BootID: "boot", Now: clock.Instant(3600e6), Wall: fixtureWall}
 }
 
 // fill logs a message that is untried, one with an attempt that may have run, and one that has ended.
@@ -124,7 +124,7 @@
 			dir, clk := t.TempDir(), clock.NewManual(testReading())
 			w, _, _ := clockWAL(t, dir, clk)
 			fill(t, w, clk)
-			next := clock.NewManual(clock.Reading{Boot: x.boot, Now: x.now, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
+			next := clock.NewManual(clock.Reading{BootID: x.boot, Now: x.now, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
 			for range 2 { // the second start reads what the first one made of it
 				w, owed, lines := clockWAL(t, dir, next)
 				left := clock.Until(next, owed["untried"].Deadline)
@@ -170,8 +170,8 @@
 		"torn":    {sound[:len(sound)/2], "damaged record passed over"},
 		"flipped": {flipped, "damaged record passed over"},
 		"empty":   {encoded(&record{Kind: recClock, ID: clockID}), "cannot be true"},
-		"absurd":  {encoded(clockRecord(clock.Reading{Boot: "boot", Now: -5, Wall: fixtureWall})), "cannot be true"},
-		"unknown": {encoded(clockRecord(clock.Reading{Boot: "other", Now: clk.Now(), Wall: fixtureWall})), "another clock"},
+		"absurd":  {encoded(clockRecord(clock.Reading{BootID: "boot", Now: -5, Wall: fixtureWall})), "cannot be true"},
+		"unknown": {encoded(clockRecord(clock.Reading{BootID: "other", Now: clk.Now(), Wall: fixtureWall})), "another clock"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -192,7 +192,7 @@
 
 // Records behind a second clock record go by that one.
 func TestClockRecordHoldsForWhatFollows(t *testing.T) {
-	first, second := testReading(), clock.Reading{Boot: "next", Now: 50e6, Wall: fixtureWall + 10e6}
+	first, second := testReading(), clock.Reading{BootID: "next", Now: 50e6, Wall: fixtureWall + 10e6}
 	var text []byte
 	for _, r := range []*record{
 		clockRecord(first), {Kind: recTaken, ID: "a", Class: "plain", Deadline: first.Now.Add(20 * time.Second), At: first.Now},
@@ -238,7 +238,7 @@
 		}
 	}
 	clk.Advance(time.Second) // by another boot the hour is not taken for time that passed
-	next := clock.NewManual(clock.Reading{Boot: "next", Now: 5e6, Wall: clk.Wall()})
+	next := clock.NewManual(clock.Reading{BootID: "next", Now: 5e6, Wall: clk.Wall()})
 	_, owed, _ := clockWAL(t, dir, next)
 	if left := clock.Until(next, owed["a"].Deadline); left != 56*time.Second {
 		t.Errorf("%v left, want 56s", left)
@@ -263,7 +263,7 @@
 			if err := os.WriteFile(filepath.Join(dir, walName), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			clk := clock.NewManual(clock.Reading{Boot: "boot", Now: 600e6, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
+			clk := clock.NewManual(clock.Reading{BootID: "boot", Now: 600e6, Wall: fixtureWall + clock.UnixMicro(x.passed.Microseconds())})
 			for range 2 {
 				w, owed, _ := clockWAL(t, dir, clk)
 				if len(owed) != 4 || len(w.ended()) != 1 || len(w.outages()) != 1 {
@@ -294,16 +294,16 @@
 		now := r.clock.Now()
 		rec := &record{Kind: recTaken, ID: "m", Class: "keyed", Dest: 7, Rules: &rules, Most: 8, Deadline: now.Add(testLimit),
 			At: now, Tries: 1, Doubt: now, WindowUnknown: unknown}
-		r.restore([]*record{rec}, nil)
-		m, e := r.ids["m"], r.events[len(r.events)-1]
+		r.restoreMessages([]*record{rec}, nil)
+		m, e := r.messagesByID["m"], r.policyEvents[len(r.policyEvents)-1]
 		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
 			t.Errorf("unknown %v: the policy takes the window for open: %v", unknown, open)
 		}
-		if late := (part{by: m.repeatBy()}).late(now); late == want {
+		if late := (part{by: m.retryDeadline()}).late(now); late == want {
 			t.Errorf("unknown %v: a call takes the window for closed: %v", unknown, late)
 		}
-		m.over = true
-		r.drop(m)
+		m.ended = true
+		r.dropMessage(m)
 	}
 }
 
@@ -312,12 +312,12 @@
 func TestHelloOfTheEarlierRelease(t *testing.T) {
 	r := testRelay(t)
 	const elders = decide.Time(3600e6 + 77e6)
-	r.joinPolicyClock(&handHello{Now: elders})
+	r.adoptPolicyClock(&handoverHello{PolicyNow: elders})
 	if r.now() != elders || r.policyTime(r.instant(elders+5)) != elders+5 {
 		t.Errorf("the policy's time is %d, want %d", r.now(), elders)
 	}
 	reading := clock.Read(r.clock)
-	r.joinPolicyClock(&handHello{Now: 5e9, Clock: reading}) // this release: no delay on the way counts
+	r.adoptPolicyClock(&handoverHello{PolicyNow: 5e9, Clock: reading}) // this release: no delay on the way counts
 	r.clock.(*clock.Manual).Advance(time.Second)
 	if r.now() != 5e9+1e6 {
 		t.Errorf("the policy's time is %d", r.now())
