--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -33,7 +33,7 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	cfg, err := relay.LoadConfig(os.Getenv)
 	if err != nil {
-		log.Error("invalid configuration", "err", err)
+		log.Error("cannot load the configuration", "err", err)
 		os.Exit(exitConfig)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
--- a/internal/clock/reading.go
+++ b/internal/clock/reading.go
@@ -12,7 +12,7 @@
 	maxUptime Instant = 1 << 50
 )
 
-// Reading is a simultaneous reading of the monotonic and the wall clock. Stored with instants, it lets
+// Reading is a reading of the monotonic and the wall clock at one moment. Stored with instants, it lets
 // a later process convert them to its own clock.
 type Reading struct {
 	BootID string    `json:"boot,omitempty"`
@@ -84,6 +84,7 @@
 // Latest converts t as if no time had passed, which gives the latest instant that is possible.
 func (c Conversion) Latest(t Instant) Instant { return shiftInstant(t, c.latestShift) }
 
+// shiftInstant adds shift to t, unless t is zero; the result is at least 1.
 func shiftInstant(t, shift Instant) Instant {
 	if t.IsZero() {
 		return t
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -12,7 +12,7 @@
 const (
 	bootIDPath     = "/proc/sys/kernel/random/boot_id"
 	clockMonotonic = 1 // CLOCK_MONOTONIC, which package time uses too
-	// fallbackOrigin is the first instant of a process that cannot read the system's monotonic clock.
+	// fallbackOrigin is the first instant of a process that cannot read the boot id or the monotonic clock.
 	fallbackOrigin  = Instant(time.Hour / time.Microsecond)
 	maxPairReads    = 5
 	targetPairWidth = 100 * time.Microsecond // readings this close together are accepted without another attempt
@@ -30,20 +30,23 @@
 // System returns the machine's clock.
 var System = sync.OnceValue(func() Clock { return newSystem(os.ReadFile, readMonotonic) })
 
+// newSystem returns the machine's clock. If the boot id or the monotonic clock cannot be read, its
+// instants begin at fallbackOrigin and no other process shares them.
 func newSystem(readFile func(string) ([]byte, error), monotonic func() (time.Duration, error)) *system {
 	s := &system{base: time.Now(), origin: fallbackOrigin}
 	bootIDText, err := readFile(bootIDPath)
 	if err != nil {
 		return s
 	}
-	if base, since, err := readPair(monotonic); err == nil {
-		s.bootID, s.base, s.origin = strings.TrimSpace(string(bootIDText)), base, Instant(since.Microseconds())
+	if base, monotonicTime, err := readPair(monotonic); err == nil {
+		s.bootID, s.base, s.origin = strings.TrimSpace(string(bootIDText)), base, Instant(monotonicTime.Microseconds())
 	}
 	return s
 }
 
-// readPair reads the time of package time and the system's monotonic clock as close together as it can.
-func readPair(monotonic func() (time.Duration, error)) (base time.Time, since time.Duration, err error) {
+// readPair reads the time of package time and the value of the system's monotonic clock at the same
+// moment, as closely as it can.
+func readPair(monotonic func() (time.Duration, error)) (base time.Time, monotonicTime time.Duration, err error) {
 	narrowest := time.Duration(-1)
 	for range maxPairReads {
 		before := time.Now()
@@ -53,13 +56,13 @@
 		}
 		width := time.Since(before)
 		if narrowest < 0 || width < narrowest {
-			base, since, narrowest = before.Add(width/2), value, width
+			base, monotonicTime, narrowest = before.Add(width/2), value, width
 		}
 		if narrowest <= targetPairWidth {
 			break
 		}
 	}
-	return base, since, nil
+	return base, monotonicTime, nil
 }
 
 // readMonotonic reads the system's monotonic clock.
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -97,28 +97,28 @@
 	if err := reader.read(source); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c, err := parseConfig(append(reader.rest, '}'), getenv, reload)
+	cfg, err := parseConfig(append(reader.rest, '}'), getenv, reload)
 	if err != nil || reader.known == nil {
-		return c, err
+		return cfg, err
 	}
 	// The limits may come after the list in the file: a list that was too long for the limits known then is
 	// read again if it may fit now.
-	if reader.knownErr != nil && directoryLimit(&c.Limits) > directoryLimit(&reader.limits) {
+	if reader.knownErr != nil && directoryLimit(&cfg.Limits) > directoryLimit(&reader.limits) {
 		if _, err := source.Seek(0, io.SeekStart); err != nil {
 			return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 		}
-		reader = &configReader{limits: c.Limits}
+		reader = &configReader{limits: cfg.Limits}
 		if err := reader.read(source); err != nil {
 			return nil, fmt.Errorf("config: %w", err)
 		}
 	}
 	if reader.knownErr != nil { // a relay can start without the list
-		c.KnownErr = reader.knownErr
-		return c, nil
+		cfg.KnownErr = reader.knownErr
+		return cfg, nil
 	}
-	c.Known = reader.known
-	c.Known.SetLimit(directoryLimit(&c.Limits))
-	return c, nil
+	cfg.Known = reader.known
+	cfg.Known.SetLimit(directoryLimit(&cfg.Limits))
+	return cfg, nil
 }
 
 // configReader separates the endpoint list of a configuration from the rest.
@@ -132,11 +132,11 @@
 
 // read reads a whole configuration.
 func (x *configReader) read(source io.Reader) error {
-	d := jx.Decode(source, 64<<10)
+	decoder := jx.Decode(source, 64<<10)
 	x.rest = []byte{'{'}
-	err := d.ObjBytes(func(d *jx.Decoder, key []byte) error {
+	err := decoder.ObjBytes(func(decoder *jx.Decoder, key []byte) error {
 		if string(key) == "known" {
-			return x.readKnown(d)
+			return x.readKnown(decoder)
 		}
 		if len(x.rest) > 1 {
 			x.rest = append(x.rest, ',')
@@ -145,7 +145,7 @@
 		if err != nil {
 			return err
 		}
-		raw, err := d.Raw()
+		raw, err := decoder.Raw()
 		if err == nil && string(key) == "limits" {
 			json.Unmarshal(raw, &x.limits) // errors are reported by parseConfig
 		}
@@ -153,16 +153,16 @@
 		return err
 	})
 	if err == nil {
-		err = membership.Ended(d)
+		err = membership.Ended(decoder)
 	}
 	return err
 }
 
 // readKnown reads the endpoint list into a directory. A list that does not fit sets knownErr.
-func (x *configReader) readKnown(d *jx.Decoder) error {
-	switch next := d.Next(); {
+func (x *configReader) readKnown(decoder *jx.Decoder) error {
+	switch next := decoder.Next(); {
 	case next == jx.Null || next == jx.Object && x.skipKnown:
-		return d.Skip()
+		return decoder.Skip()
 	case next != jx.Object:
 		return errors.New("known: wrong type")
 	}
@@ -172,9 +172,9 @@
 	if err != nil {
 		return err
 	}
-	header, err := membership.ReadIn(d, func(_ *membership.Header, e *membership.Entry) error {
+	header, err := membership.ReadIn(decoder, func(_ *membership.Header, entry *membership.Entry) error {
 		if x.knownErr == nil {
-			_, x.knownErr = stage.Entry(e, false)
+			_, x.knownErr = stage.Entry(entry, false)
 		}
 		return nil
 	})
@@ -215,13 +215,13 @@
 		StateFolder: file.State, OpsAddr: file.Ops, Limits: file.Limits}
 	for _, setting := range []struct {
 		env, key string
-		to       *string
+		field    *string
 	}{{"ROUTER_NAME", "name", &cfg.Name}, {"ROUTER_LISTEN", "listen", &cfg.ListenAddr},
 		{"ROUTER_DISCOVERY", "discovery", &cfg.DiscoveryAddr}, {"ROUTER_STATE", "state", &cfg.StateFolder}} {
-		if value := getenv(setting.env); value != "" && (*setting.to == "" || !reload || setting.key != "discovery") {
-			*setting.to = value
+		if value := getenv(setting.env); value != "" && (*setting.field == "" || !reload || setting.key != "discovery") {
+			*setting.field = value
 		}
-		if *setting.to == "" {
+		if *setting.field == "" {
 			return nil, fmt.Errorf("config: %s: missing, and %s is not set", setting.key, setting.env)
 		}
 	}
@@ -293,11 +293,11 @@
 
 // indexByName maps each name to its index.
 func indexByName(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
+	indexes := make(map[string]int, len(names))
+	for i, name := range names {
+		indexes[name] = i
 	}
-	return m
+	return indexes
 }
 
 // parseSeed parses a 64-bit seed, given as a string in hexadecimal or as a decimal number.
@@ -342,7 +342,7 @@
 	return nil
 }
 
-// File descriptors.
+// Numbers of file descriptors.
 const (
 	reservedSockets = 28 + opsMost // for the runtime, the log, the listeners, discovery and the operator port
 	minSockets      = 64           // the fewest with which a relay can work
--- a/internal/relay/fuzz_config_test.go
+++ b/internal/relay/fuzz_config_test.go
@@ -68,7 +68,7 @@
 		if !reflect.DeepEqual(again.Policy, cfg.Policy) || !reflect.DeepEqual(again.Limits, cfg.Limits) || again.Seed != cfg.Seed {
 			t.Errorf("read twice as\n%+v and\n%+v", cfg, again)
 		}
-		if err := again.checkReplaces(cfg); err != nil {
+		if err := again.checkCanReplace(cfg); err != nil {
 			t.Errorf("it cannot take its own place: %v", err)
 		}
 	})
@@ -128,7 +128,7 @@
 		if err != nil {
 			return
 		}
-		if cfg.checkReplaces(running) != nil {
+		if cfg.checkCanReplace(running) != nil {
 			return
 		}
 		if err := cfg.Policy.Validate(); err != nil || cfg.Policy.MaxAttempts <= 0 || len(cfg.Policy.Classes) == 0 {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -144,8 +144,9 @@
 // send queues a message for the other process.
 func (p *peer) send(msg handoverMessage) { p.outbox.put(msg) }
 
-// writeLoop writes the queued messages until the connection has ended or finish is closed. A failed
-// write does not stop the reading: what the other process sent before is still to be received.
+// writeLoop writes the queued messages until the connection has ended or finish is closed. Reading goes on
+// after a failed write, since what the other process sent before is still to be received; only a write
+// timeout closes the connection.
 func (p *peer) writeLoop() {
 	var messages []handoverMessage
 	enc := json.NewEncoder(p.conn)
@@ -289,8 +290,8 @@
 func (r *Relay) restoreHandover(state *handoverState, p *peer) map[string]*call {
 	currentNum := func(old decide.Endpoint) decide.Endpoint {
 		if id, ok := state.EndpointIDs[old]; ok {
-			x, _ := r.directory.Find(id)
-			return decide.Endpoint(x.Number)
+			entry, _ := r.directory.Find(id)
+			return decide.Endpoint(entry.Number)
 		}
 		return 0
 	}
@@ -298,37 +299,38 @@
 		for i := range state.Memory.Lanes {
 			lane := &state.Memory.Lanes[i]
 			for j := range lane.Endpoints {
-				x := &lane.Endpoints[j]
-				x.Endpoint = currentNum(x.Endpoint)
-				if at, ok := r.directory.Get(membership.Number(x.Endpoint)); ok {
+				entry := &lane.Endpoints[j]
+				entry.Endpoint = currentNum(entry.Endpoint)
+				if at, ok := r.directory.Get(membership.Number(entry.Endpoint)); ok {
 					lane.Dest = at.Dest // earlier releases do not send it
 				}
 			}
-			lane.Endpoints = slices.DeleteFunc(lane.Endpoints, func(x decide.EndpointMemory) bool { return x.Endpoint == 0 })
+			lane.Endpoints = slices.DeleteFunc(lane.Endpoints,
+				func(entry decide.EndpointMemory) bool { return entry.Endpoint == 0 })
 		}
 		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMemory, Memory: state.Memory})
 	}
 	for id, until := range state.Waits {
-		if x, ok := r.directory.Find(id); ok {
-			ep := r.endpoint(decide.Endpoint(x.Number))
+		if entry, ok := r.directory.Find(id); ok {
+			ep := r.endpoint(decide.Endpoint(entry.Number))
 			ep.waitUntil, ep.released = max(ep.waitUntil, until), true
 			r.toForget(ep)
 		}
 	}
 	calls, byID := map[uint64]*call{}, map[string]*call{}
-	for _, x := range state.Calls {
-		c := calls[x.Call]
+	for _, entry := range state.Calls {
+		c := calls[entry.Call]
 		if c == nil {
-			ep := r.endpoint(currentNum(x.Endpoint))
+			ep := r.endpoint(currentNum(entry.Endpoint))
 			if ep == nil { // no longer listed
 				r.lastUnlistedNum++
 				ep = &endpoint{num: madeUp | r.lastUnlistedNum, gone: true, calls: map[*call]bool{}}
 			}
-			c = &call{ep: ep, written: true, stop: func(error) { p.send(handoverMessage{Cancel: x.ID}) }}
+			c = &call{ep: ep, written: true, stop: func(error) { p.send(handoverMessage{Cancel: entry.ID}) }}
 			c.stage.Store(callSending)
-			calls[x.Call] = c
+			calls[entry.Call] = c
 		}
-		byID[x.ID] = c
+		byID[entry.ID] = c
 	}
 	return byID
 }
@@ -393,13 +395,14 @@
 func (r *Relay) handlePredecessorMessage(msg *handoverMessage) {
 	switch {
 	case msg.Outcome != nil:
-		x := msg.Outcome
-		if m := r.messagesByID[x.ID]; m != nil && m.call != nil && m.call.ctx == nil {
-			result := &outcome{what: x.Outcome, wait: x.RetryAfter, slots: x.SlotsTaken, crowded: x.TooManyConns,
-				settled: x.Settled, took: x.Elapsed, load: x.Load,
-				status: x.Status, spoilt: x.Malformed}
-			if x.Err != "" {
-				result.err = errors.New(x.Err)
+		report := msg.Outcome
+		if m := r.messagesByID[report.ID]; m != nil && m.call != nil && m.call.ctx == nil {
+			result := &outcome{what: report.Outcome, wait: report.RetryAfter, slots: report.SlotsTaken,
+				crowded: report.TooManyConns,
+				settled: report.Settled, took: report.Elapsed, load: report.Load,
+				status: report.Status, spoilt: report.Malformed}
+			if report.Err != "" {
+				result.err = errors.New(report.Err)
 			}
 			r.handleCallResult(m.call, m, result)
 		}
@@ -407,16 +410,16 @@
 		rec := msg.Put.Record
 		rec.Kind, rec.body = recTaken, msg.Put.Body
 		now := clock.Read(r.clock)
-		if c := r.predecessor.logClock.convert(now); !c.SameClock {
-			rec.convert(c, now.Now)
+		if conversion := r.predecessor.logClock.convert(now); !conversion.SameClock {
+			rec.convert(conversion, now.Now)
 		}
 		req := &request{rec: rec}
-		p := r.predecessor
+		predecessor := r.predecessor
 		req.to = func(reply string) {
 			r.inbox.put(event{forwarded: req, reply: reply})
-			p.send(handoverMessage{Reply: &handoverReply{rec.ID, reply}})
+			predecessor.send(handoverMessage{Reply: &handoverReply{rec.ID, reply}})
 		}
-		p.pendingPuts[rec.ID] = req
+		predecessor.pendingPuts[rec.ID] = req
 		r.admit(req)
 	case msg.Reload:
 		go r.rereadConfig(r.reload)
@@ -434,10 +437,10 @@
 	p := r.predecessor
 	r.predecessor = nil
 	unreported := 0
-	for _, m := range r.messages {
-		if m.call != nil && m.call.ctx == nil {
+	for _, msg := range r.messages {
+		if msg.call != nil && msg.call.ctx == nil {
 			unreported++
-			r.handleCallResult(m.call, m, &outcome{what: decide.Cancelled, err: errPredecessorGone})
+			r.handleCallResult(msg.call, msg, &outcome{what: decide.Cancelled, err: errPredecessorGone})
 		}
 	}
 	for _, req := range p.pendingPuts {
@@ -571,14 +574,14 @@
 		}
 	}
 	calls := map[*call]uint64{}
-	for _, m := range r.messages {
-		if m.call == nil || m.ended {
+	for _, msg := range r.messages {
+		if msg.call == nil || msg.ended {
 			continue
 		}
-		if calls[m.call] == 0 {
-			calls[m.call] = uint64(len(calls) + 1)
+		if calls[msg.call] == 0 {
+			calls[msg.call] = uint64(len(calls) + 1)
 		}
-		state.Calls = append(state.Calls, inFlightCall{m.rec.ID, m.call.ep.num, calls[m.call]})
+		state.Calls = append(state.Calls, inFlightCall{msg.rec.ID, msg.call.ep.num, calls[msg.call]})
 	}
 	slices.SortFunc(state.Calls, func(a, b inFlightCall) int { return int(a.Call) - int(b.Call) })
 	return state
@@ -586,15 +589,15 @@
 
 // finishAfterHandover is the event loop of a process that has handed over: it reports the outcomes of its
 // calls in flight, passes messages of its remaining clients to the successor, and returns when it has
-// neither calls nor clients.
+// neither calls nor clients, or at the end of the shutdown time after a stop.
 func (r *Relay) finishAfterHandover() {
 	r.clients.handOver()
 	r.pool.tune(&r.cfg.Policy, r.callsInFlight+1)
 	r.pool.sweep(func(*poolConn) bool { return true })
 	debug.FreeOSMemory()
 	byID := map[string]*message{}
-	for _, m := range r.messages {
-		byID[m.rec.ID] = m
+	for _, msg := range r.messages {
+		byID[msg.rec.ID] = msg
 	}
 	forwarded := map[string]*request{}
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -631,8 +634,8 @@
 					req.answer(ev.peerMessage.Reply.Reply)
 				}
 			case ev.peer == r.successor && ev.peerMessage.Cancel != "":
-				if m := byID[ev.peerMessage.Cancel]; m != nil && m.call != nil {
-					m.call.stop(errCancelled)
+				if msg := byID[ev.peerMessage.Cancel]; msg != nil && msg.call != nil {
+					msg.call.stop(errCancelled)
 				}
 			case ev.peer != nil:
 				ev.peer.conn.Close()
@@ -654,8 +657,9 @@
 			r.clients.cutOff()
 		}
 		timedOut := !r.stoppingSince.IsZero() && clock.Since(r.clock, r.stoppingSince) >= exitAfter
-		if conns := r.clients.count(); timedOut || (r.callsInFlight == 0 || lost) && len(forwarded) == 0 && conns == 0 {
-			r.log.Info("upgrade: finished after hand-over", "calls", r.callsInFlight, "clients", conns)
+		if openClients := r.clients.count(); timedOut ||
+			(r.callsInFlight == 0 || lost) && len(forwarded) == 0 && openClients == 0 {
+			r.log.Info("upgrade: finished after hand-over", "calls", r.callsInFlight, "clients", openClients)
 			r.successor.flush()
 			return
 		}
@@ -673,8 +677,8 @@
 }
 
 // forwardOutcome reports the outcome of an attempt to the successor, which owns the message now.
-func (r *Relay) forwardOutcome(m *message, result *outcome) {
-	report := &handoverOutcome{ID: m.rec.ID, Outcome: result.what, RetryAfter: result.wait, SlotsTaken: result.slots,
+func (r *Relay) forwardOutcome(msg *message, result *outcome) {
+	report := &handoverOutcome{ID: msg.rec.ID, Outcome: result.what, RetryAfter: result.wait, SlotsTaken: result.slots,
 		TooManyConns: result.crowded, Settled: result.settled, Elapsed: result.took,
 		Load: result.load, Status: result.status, Malformed: result.spoilt}
 	if result.err != nil {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -60,7 +60,7 @@
 
 // retryDeadline returns the moment from which the message must not be sent again, because the
 // endpoint's deduplication window for an attempt that may have run is over. It is zero if there is none.
-func (m *message) retryDeadline() clock.Instant {
+func (m *message) repeatUntil() clock.Instant {
 	rules := m.rec.Rules
 	switch {
 	case m.inDoubtSince.IsZero() || rules == nil || rules.Repeat != decide.Keyed:
@@ -240,7 +240,7 @@
 		if state := r.takeOver(predecessor, slots); state != nil {
 			predecessorCalls = r.restoreHandover(state, predecessor)
 			r.predecessor = predecessor
-			go func() { // the configuration may have changed since this process read it
+			go func() { // a signal to reload may have gone to the predecessor since this process read the file
 				if latest, err := reload.Read(); err == nil && !reflect.DeepEqual(latest.rawConfig, cfg.rawConfig) {
 					r.inbox.put(event{config: latest})
 				}
@@ -321,12 +321,13 @@
 		if r.messagesByID[rec.ID] != nil {
 			continue // an id has one message at a time
 		}
-		m := r.newMessage(rec)
-		m.acknowledged, m.logged, m.attempts, m.lastAttemptAt, m.inDoubtSince = true, true, rec.Tries, rec.Out, rec.Doubt
-		m.dedupWindowUnknown = rec.WindowUnknown
+		msg := r.newMessage(rec)
+		msg.acknowledged, msg.logged, msg.attempts, msg.lastAttemptAt, msg.inDoubtSince =
+			true, true, rec.Tries, rec.Out, rec.Doubt
+		msg.dedupWindowUnknown = rec.WindowUnknown
 		if rec.Notice != "" {
-			m.ended = true
-			r.dropMessage(m)
+			msg.ended = true
+			r.dropMessage(msg)
 			r.notices.owed.Add(1)
 			r.notices.in.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
 			continue
@@ -335,56 +336,56 @@
 			if class, ok := r.cfg.classes[rec.Class]; ok {
 				rec.Rules, rec.Most = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
 			} else { // whether the message may be repeated is not known
-				m.ended = true
-				r.dropMessage(m)
-				r.reportEnd(m, endGivenUp, 0)
+				msg.ended = true
+				r.dropMessage(msg)
+				r.reportEnd(msg, endGivenUp, 0)
 				continue
 			}
 		}
-		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1,
+		policyEvent := decide.Event{Kind: decide.EvMessage, Message: msg.num, Dest: rec.Dest, Tenant: -1,
 			Rules: rec.Rules, Most: rec.Most,
 			Left: r.policyTime(rec.Deadline) - r.now(), Tries: rec.Tries, DoubtIn: rec.DoubtIn}
 		if rec.DoubtZone != "" {
-			if e.DoubtIn = place(r.cfg.zones, rec.DoubtZone); e.DoubtIn < 0 {
-				e.DoubtIn-- // a zone that is no longer configured, which no endpoint matches
+			if policyEvent.DoubtIn = place(r.cfg.zones, rec.DoubtZone); policyEvent.DoubtIn < 0 {
+				policyEvent.DoubtIn-- // a zone that is no longer configured, which no endpoint matches
 			}
 		}
 		r.directory.Name(rec.Dest) // a list has named it, or the message would not have been accepted
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
-			e.Tenant = t
+			policyEvent.Tenant = t
 		}
 		if rec.Doubt != 0 {
-			e.DoubtAt = r.policyTime(rec.Doubt)
+			policyEvent.DoubtAt = r.policyTime(rec.Doubt)
 			if rec.WindowUnknown {
-				e.DoubtAt = latestExpiredAttempt(rec.Rules, r.now())
+				policyEvent.DoubtAt = latestExpiredAttempt(rec.Rules, r.now())
 			}
 		}
 		if c := predecessorCalls[rec.ID]; c != nil {
-			m.call = c
-			c.msgs = append(c.msgs, m)
+			msg.call = c
+			c.msgs = append(c.msgs, msg)
 			if c.out++; c.out == 1 {
 				c.ep.calls[c] = true
 				r.callsInFlight++
 				r.lastCallNum++
 				c.num = r.lastCallNum
 			}
-			e.OutOn, e.OutAt, e.Call = c.ep.num, r.policyTime(rec.Out), c.num
-		} else if m.recoveredUntried = rec.Tries == 0; m.recoveredUntried {
+			policyEvent.OutOn, policyEvent.OutAt, policyEvent.Call = c.ep.num, r.policyTime(rec.Out), c.num
+		} else if msg.recoveredUntried = rec.Tries == 0; msg.recoveredUntried {
 			r.untried.found++
 		}
-		r.policyEvents = append(r.policyEvents, e)
+		r.policyEvents = append(r.policyEvents, policyEvent)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
-			"may_have_run", rec.Doubt != 0, "out", m.call != nil, "left", time.Duration(e.Left)*time.Microsecond)
+			"may_have_run", rec.Doubt != 0, "out", msg.call != nil, "left", time.Duration(policyEvent.Left)*time.Microsecond)
 	}
 }
 
 // newMessage adds a message to those that the policy holds.
 func (r *Relay) newMessage(rec *record) *message {
 	r.lastMessageNum++
-	m := &message{num: r.lastMessageNum, rec: rec}
-	r.messages[m.num], r.messagesByID[rec.ID] = m, m
+	msg := &message{num: r.lastMessageNum, rec: rec}
+	r.messages[msg.num], r.messagesByID[rec.ID] = msg, msg
 	r.heldCount++
-	return m
+	return msg
 }
 
 // loop is the event loop, the only goroutine that uses the policy: it takes the events from the inbox,
@@ -459,12 +460,12 @@
 // tooLateToCall reports whether the process may exit before a call of the message would end, so that
 // none is started. The policy goes on to count the attempt as in flight; the next process recovers the
 // message from the log.
-func (r *Relay) tooLateToCall(m *message) bool {
+func (r *Relay) tooLateToCall(msg *message) bool {
 	if r.stoppingSince.IsZero() {
 		return false
 	}
 	cutoff := stopCallsAfter
-	if m.rec.Rules.Repeat == decide.Unsafe {
+	if msg.rec.Rules.Repeat == decide.Unsafe {
 		cutoff = stopUnsafeCallsAfter
 	}
 	return clock.Since(r.clock, r.stoppingSince) >= cutoff
@@ -554,32 +555,33 @@
 	if t, ok := r.cfg.tenants[req.rec.Tenant]; ok {
 		tenant = t
 	}
-	m := r.newMessage(req.rec)
-	m.req = req
-	r.unanswered[req] = m
-	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
+	msg := r.newMessage(req.rec)
+	msg.req = req
+	r.unanswered[req] = msg
+	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessage, Message: msg.num, Class: class,
 		Dest: req.rec.Dest, Tenant: tenant, Left: r.policyTime(req.rec.Deadline) - r.now()})
 }
 
 // replyWritten handles the end of writing a reply: the client has received it, or has disconnected before.
 func (r *Relay) replyWritten(req *request, written bool) {
-	m := r.unanswered[req]
-	if m == nil {
+	msg := r.unanswered[req]
+	if msg == nil {
 		return
 	}
 	delete(r.unanswered, req)
 	if !written {
-		r.withdraw(m)
+		r.withdraw(msg)
 		return
 	}
-	m.acknowledged = true
-	r.log.Debug("taken", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "left_ms", r.remainingMS(m))
-	if c := m.pendingCall; c != nil {
+	msg.acknowledged = true
+	r.log.Debug("taken", "message", msg.rec.ID, "class", msg.rec.Class, "dest", msg.rec.Dest,
+		"left_ms", r.remainingMS(msg))
+	if c := msg.pendingCall; c != nil {
 		r.startCall(c)
 	}
-	if notice := m.pendingNotice; notice != nil {
-		m.pendingNotice = nil
-		r.reportEnd(m, notice.Notice, notice.RetryMS)
+	if notice := msg.pendingNotice; notice != nil {
+		msg.pendingNotice = nil
+		r.reportEnd(msg, notice.Notice, notice.RetryMS)
 	}
 }
 
@@ -593,38 +595,40 @@
 }
 
 // withdraw ends a message whose client was not told that it is accepted: nobody is owed its outcome.
-func (r *Relay) withdraw(m *message) {
-	if m.logged {
-		r.wal.submit(&record{Kind: recEnd, ID: m.rec.ID}, nil)
+func (r *Relay) withdraw(msg *message) {
+	if msg.logged {
+		r.wal.submit(&record{Kind: recEnd, ID: msg.rec.ID}, nil)
 	}
-	m.pendingNotice = nil
-	if !m.ended {
-		m.ended = true
-		r.dropMessage(m)
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+	msg.pendingNotice = nil
+	if !msg.ended {
+		msg.ended = true
+		r.dropMessage(msg)
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvWithdraw, Message: msg.num})
 	}
-	if m.pendingCall != nil {
-		r.removeFromPendingCall(m)
+	if msg.pendingCall != nil {
+		r.removeFromPendingCall(msg)
 	}
 }
 
-// dropMessage removes a message that the policy no longer holds. While it has a call it stays in messages.
-func (r *Relay) dropMessage(m *message) {
+// dropMessage removes a message that the policy no longer holds. It stays in messages while it has a call.
+func (r *Relay) dropMessage(msg *message) {
 	r.heldCount--
-	delete(r.messagesByID, m.rec.ID)
-	if m.call == nil && m.pendingCall == nil {
-		delete(r.messages, m.num)
+	delete(r.messagesByID, msg.rec.ID)
+	if msg.call == nil && msg.pendingCall == nil {
+		delete(r.messages, msg.num)
 	}
 }
 
 // endedReplies holds the replies for accepted messages that have ended, in case one is handed in again
-// under the same id: by a client whose connection broke, or by a peer that repeats messages. Two
+// under the same id: by a client whose connection broke, or by a peer that resends what it has seen. Two
 // generations are kept, so that a reply is kept for at least the retention time after the message's end.
 type endedReplies struct {
 	current, previous map[string]string
 	rotatedAt         decide.Time
 }
 
+// add keeps the reply for a message id. It begins a new generation, and drops the previous one, if the
+// current one is older than the retention time.
 func (p *endedReplies) add(id, reply string, now, retention decide.Time) {
 	if p.current == nil || now-p.rotatedAt >= retention {
 		p.current, p.previous, p.rotatedAt = map[string]string{}, p.current, now
@@ -636,12 +640,12 @@
 func (p *endedReplies) reply(id string) string { return cmp.Or(p.current[id], p.previous[id]) }
 
 // rememberReply keeps the reply that states how a message ended, for the longest deadline of any class.
-func (r *Relay) rememberReply(m *message, reply string) {
+func (r *Relay) rememberReply(msg *message, reply string) {
 	retention := decide.Time(0)
 	for _, class := range r.cfg.Policy.Classes {
 		retention = max(retention, class.Deadline)
 	}
-	r.endedReplies.add(m.rec.ID, reply, r.now(), retention)
+	r.endedReplies.add(msg.rec.ID, reply, r.now(), retention)
 }
 
 // restoreEndedReplies restores the replies for messages that ended under an earlier process.
@@ -665,8 +669,8 @@
 	submitted := make([]*message, 0, len(events))
 	for i := range events {
 		if events[i].Kind == decide.EvMessage {
-			if m := r.messages[events[i].Message]; m != nil && m.req != nil {
-				submitted = append(submitted, m)
+			if msg := r.messages[events[i].Message]; msg != nil && msg.req != nil {
+				submitted = append(submitted, msg)
 			}
 		}
 	}
@@ -682,9 +686,9 @@
 			r.handleFinalAction(action, endGivenUp)
 		}
 	}
-	for _, m := range submitted {
-		if m.req != nil && !m.ended {
-			r.acceptMessage(m)
+	for _, msg := range submitted {
+		if msg.req != nil && !msg.ended {
+			r.acceptMessage(msg)
 		}
 	}
 	for i := range r.actions {
@@ -696,9 +700,9 @@
 // dispatchCalls cancels the attempts that the policy cancelled in this step, and starts the calls that
 // the step has formed.
 func (r *Relay) dispatchCalls() {
-	for _, m := range r.cancelledMessages {
-		if m.call != nil {
-			r.cancelAttempt(m.call, m)
+	for _, msg := range r.cancelledMessages {
+		if msg.call != nil {
+			r.cancelAttempt(msg.call, msg)
 		}
 	}
 	for _, c := range r.formingCalls {
@@ -710,11 +714,11 @@
 }
 
 // acceptMessage logs a message. Its client gets the reply once the record is written.
-func (r *Relay) acceptMessage(m *message) {
-	req := m.req
-	m.req, m.logged = nil, true
-	m.rec.At = r.clock.Now()
-	r.wal.submit(m.rec, func(err error) {
+func (r *Relay) acceptMessage(msg *message) {
+	req := msg.req
+	msg.req, msg.logged = nil, true
+	msg.rec.At = r.clock.Now()
+	r.wal.submit(msg.rec, func(err error) {
 		if err != nil {
 			r.inbox.put(event{unlogged: req})
 			return
@@ -725,61 +729,61 @@
 
 // handleFinalAction ends a message as the policy decided: given up or handed back.
 func (r *Relay) handleFinalAction(action *decide.Action, outcomeName string) {
-	m := r.messages[action.Message]
-	if m == nil || m.ended {
+	msg := r.messages[action.Message]
+	if msg == nil || msg.ended {
 		return
 	}
-	m.ended = true
-	if m.call != nil { // before the client or the platform is told
-		m.call.takeOut(m)
+	msg.ended = true
+	if msg.call != nil { // before the client or the platform is told
+		msg.call.takeOut(msg)
 	}
 	retryMS := (action.After + 999) / 1000
-	if req := m.req; req != nil { // not accepted: the client gets the result as its reply
-		m.req = nil
+	if req := msg.req; req != nil { // not accepted: the client gets the result as its reply
+		msg.req = nil
 		delete(r.unanswered, req)
 		if outcomeName == endHandedBack {
 			req.answer(resp.Busy(retryMS))
 		} else {
 			req.answer(resp.Error(errors.New("given up")))
 		}
-		r.dropMessage(m)
+		r.dropMessage(msg)
 		return
 	}
-	r.dropMessage(m)
+	r.dropMessage(msg)
 	if outcomeName == endHandedBack {
-		r.rememberReply(m, resp.Busy(retryMS))
+		r.rememberReply(msg, resp.Busy(retryMS))
 	} else {
-		r.rememberReply(m, resp.Error(errors.New("given up")))
+		r.rememberReply(msg, resp.Error(errors.New("given up")))
 	}
-	r.log.Info("ended", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest,
-		"outcome", outcomeName, "tries", m.attempts,
-		"left_ms", r.remainingMS(m), "found_untried", m.recoveredUntried)
-	if m.recoveredUntried {
-		m.recoveredUntried = false
+	r.log.Info("ended", "message", msg.rec.ID, "class", msg.rec.Class, "dest", msg.rec.Dest,
+		"outcome", outcomeName, "tries", msg.attempts,
+		"left_ms", r.remainingMS(msg), "found_untried", msg.recoveredUntried)
+	if msg.recoveredUntried {
+		msg.recoveredUntried = false
 		r.untried.ended++
 		r.logUntried(false)
 	}
-	if !m.acknowledged {
-		m.pendingNotice = &record{Notice: outcomeName, RetryMS: retryMS}
+	if !msg.acknowledged {
+		msg.pendingNotice = &record{Notice: outcomeName, RetryMS: retryMS}
 		return
 	}
-	r.reportEnd(m, outcomeName, retryMS)
+	r.reportEnd(msg, outcomeName, retryMS)
 }
 
 // remainingMS returns the time until a message's deadline, in milliseconds.
-func (r *Relay) remainingMS(m *message) int64 {
-	return clock.Until(r.clock, m.rec.Deadline).Milliseconds()
+func (r *Relay) remainingMS(msg *message) int64 {
+	return clock.Until(r.clock, msg.rec.Deadline).Milliseconds()
 }
 
 // reportEnd logs how a message ended and queues the notice for the platform.
-func (r *Relay) reportEnd(m *message, outcomeName string, retryMS int64) {
+func (r *Relay) reportEnd(msg *message, outcomeName string, retryMS int64) {
 	if outcomeName == endGivenUp {
 		retryMS = 0
 	}
-	n := notice{m.rec.ID, outcomeName, retryMS, m.rec.Deadline}
+	n := notice{msg.rec.ID, outcomeName, retryMS, msg.rec.Deadline}
 	r.notices.owed.Add(1)
 	// The notice is sent whether or not the record could be written.
-	r.wal.submit(&record{Kind: recEnding, ID: m.rec.ID, Notice: outcomeName, RetryMS: retryMS},
+	r.wal.submit(&record{Kind: recEnding, ID: msg.rec.ID, Notice: outcomeName, RetryMS: retryMS},
 		func(error) { r.notices.in.put(n) })
 }
 
@@ -788,22 +792,22 @@
 func (r *Relay) performAction(now decide.Time, action *decide.Action) {
 	switch action.Kind {
 	case decide.ActSend:
-		m := r.messages[action.Message]
-		if m == nil {
+		msg := r.messages[action.Message]
+		if msg == nil {
 			return
 		}
-		m.attempts++
-		m.attemptDeadline, m.cancelling = action.At, false
-		m.pendingCall = r.callForSend(action.Endpoint)
-		m.pendingCall.msgs = append(m.pendingCall.msgs, m)
+		msg.attempts++
+		msg.attemptDeadline, msg.cancelling = action.At, false
+		msg.pendingCall = r.callForSend(action.Endpoint)
+		msg.pendingCall.msgs = append(msg.pendingCall.msgs, msg)
 	case decide.ActCancel:
-		if m := r.messages[action.Message]; m != nil && action.Attempt == m.attempts-1 {
+		if msg := r.messages[action.Message]; msg != nil && action.Attempt == msg.attempts-1 {
 			switch {
-			case m.call != nil:
-				m.cancelling = true
-				r.cancelledMessages = append(r.cancelledMessages, m)
-			case m.pendingCall != nil:
-				r.removeFromPendingCall(m)
+			case msg.call != nil:
+				msg.cancelling = true
+				r.cancelledMessages = append(r.cancelledMessages, msg)
+			case msg.pendingCall != nil:
+				r.removeFromPendingCall(msg)
 			}
 		}
 	case decide.ActTimer:
@@ -845,36 +849,36 @@
 
 // reportNotSent reports an attempt that was not sent. The event goes through the inbox, so that the
 // policy learns of it in its next step.
-func (r *Relay) reportNotSent(m *message, c *call, err error) {
-	r.inbox.put(event{unsent: m, call: c, result: &outcome{what: decide.NotSent, err: err}})
+func (r *Relay) reportNotSent(msg *message, c *call, err error) {
+	r.inbox.put(event{unsent: msg, call: c, result: &outcome{what: decide.NotSent, err: err}})
 }
 
 // removeFromPendingCall takes a message out of a call that has not started. The call's other messages
 // no longer wait for it.
-func (r *Relay) removeFromPendingCall(m *message) {
-	c := m.pendingCall
-	m.pendingCall = nil
-	c.msgs = slices.DeleteFunc(c.msgs, func(x *message) bool { return x == m })
-	r.reportNotSent(m, c, errCancelled)
+func (r *Relay) removeFromPendingCall(msg *message) {
+	c := msg.pendingCall
+	msg.pendingCall = nil
+	c.msgs = slices.DeleteFunc(c.msgs, func(x *message) bool { return x == msg })
+	r.reportNotSent(msg, c, errCancelled)
 	r.startCall(c)
 }
 
 // startCall logs the attempts of a call and then makes it. It does nothing before the clients of all
 // its messages have their replies.
 func (r *Relay) startCall(c *call) {
-	if c.stop != nil || slices.ContainsFunc(c.msgs, func(m *message) bool { return !m.acknowledged }) {
+	if c.stop != nil || slices.ContainsFunc(c.msgs, func(msg *message) bool { return !msg.acknowledged }) {
 		return
 	}
 	now := r.now()
-	c.msgs = slices.DeleteFunc(c.msgs, func(m *message) bool {
-		if r.tooLateToCall(m) {
+	c.msgs = slices.DeleteFunc(c.msgs, func(msg *message) bool {
+		if r.tooLateToCall(msg) {
 			return true
 		}
-		m.pendingCall = nil
+		msg.pendingCall = nil
 		if ep := c.ep; ep == nil || ep.gone || ep.waitUntil > now ||
-			ep.cell != m.rec.Dest || m.attemptDeadline <= now || m.ended ||
-			(part{by: m.retryDeadline()}).late(r.instant(now)) {
-			r.reportNotSent(m, c, errNoCall)
+			ep.cell != msg.rec.Dest || msg.attemptDeadline <= now || msg.ended ||
+			(part{by: msg.repeatUntil()}).late(r.instant(now)) {
+			r.reportNotSent(msg, c, errNoCall)
 			return true
 		}
 		return false
@@ -888,32 +892,33 @@
 	c.ctx, c.stop = context.WithCancelCause(r.ctx)
 	c.ep.calls[c] = true
 	r.callsInFlight++
-	for _, m := range c.msgs {
-		m.call = c
+	for _, msg := range c.msgs {
+		msg.call = c
 		c.out++
-		if m.recoveredUntried {
-			m.recoveredUntried = false
+		if msg.recoveredUntried {
+			msg.recoveredUntried = false
 			r.untried.called++
-			r.log.Info("resumed message called", "message", m.rec.ID, "left_ms", r.remainingMS(m))
+			r.log.Info("resumed message called", "message", msg.rec.ID, "left_ms", r.remainingMS(msg))
 			r.logUntried(false)
 		}
 	}
 	conns, msgs, loadFields := c.ep.home, slices.Clone(c.msgs), r.cfg.loadFields
-	parts := make([]part, 0, len(msgs)) // appended to by the log's goroutine alone
-	for i, m := range msgs {
-		p := part{m: m, rec: m.rec, limit: time.Duration(m.attemptDeadline-now) * time.Microsecond, by: m.retryDeadline()}
-		m.lastAttemptAt = r.instant(now)
-		r.wal.submit(&record{Kind: recAttempt, ID: m.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
+	items := make([]part, 0, len(msgs)) // appended to by the log's goroutine alone
+	for i, msg := range msgs {
+		item := part{m: msg, rec: msg.rec, limit: time.Duration(msg.attemptDeadline-now) * time.Microsecond,
+			by: msg.repeatUntil()}
+		msg.lastAttemptAt = r.instant(now)
+		r.wal.submit(&record{Kind: recAttempt, ID: msg.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
 			if err == nil {
-				parts = append(parts, p)
+				items = append(items, item)
 			} else {
-				r.inbox.put(event{call: c, msg: m, result: &outcome{what: decide.NotSent, err: errUnlogged}})
+				r.inbox.put(event{call: c, msg: msg, result: &outcome{what: decide.NotSent, err: errUnlogged}})
 			}
-			if i < len(msgs)-1 || len(parts) == 0 {
+			if i < len(msgs)-1 || len(items) == 0 {
 				return
 			}
-			go c.run(conns, parts, loadFields, func(m *message, o outcome) {
-				r.inbox.put(event{call: c, msg: m, result: &o})
+			go c.run(conns, items, loadFields, func(msg *message, result outcome) {
+				r.inbox.put(event{call: c, msg: msg, result: &result})
 			})
 		})
 	}
@@ -921,15 +926,15 @@
 
 // cancelAttempt cancels the attempt of one message of a call. The call itself goes on while another
 // of its messages is not cancelled.
-func (r *Relay) cancelAttempt(c *call, m *message) {
-	takenOut := c.takeOut(m)
+func (r *Relay) cancelAttempt(c *call, msg *message) {
+	removedUnsent := c.takeOut(msg)
 	for _, other := range c.msgs {
 		if other.call == c && !other.cancelling {
 			result := outcome{what: decide.Cancelled, err: errCancelled}
-			if takenOut { // and it will not be sent any more
+			if removedUnsent { // and it will not be sent any more
 				result.what = decide.NotSent
 			}
-			r.inbox.put(event{call: c, msg: m, result: &result})
+			r.inbox.put(event{call: c, msg: msg, result: &result})
 			return
 		}
 	}
@@ -966,15 +971,15 @@
 	if c.ep.home != nil && c.ep.suspect(result, r.now()) {
 		c.ep.home.closeIdle()
 	}
-	for _, m := range c.msgs {
-		if m.call != c || only != nil && only != m {
+	for _, msg := range c.msgs {
+		if msg.call != c || only != nil && only != msg {
 			continue // it has its outcome already, or is not the one in question
 		}
 		messageResult := *result
-		if x, ok := result.ends[m.rec.ID]; ok {
-			messageResult.what, messageResult.settled = x.what, x.settled
+		if itemResult, ok := result.ends[msg.rec.ID]; ok {
+			messageResult.what, messageResult.settled = itemResult.what, itemResult.settled
 		}
-		r.handleAttemptEnd(m, c, &messageResult)
+		r.handleAttemptEnd(msg, c, &messageResult)
 	}
 	if only != nil && c.out == 0 {
 		c.stop(errCancelled) // no message waits for the call any more
@@ -982,23 +987,23 @@
 }
 
 // handleAttemptEnd applies the outcome of a message's attempt and reports it to the policy.
-func (r *Relay) handleAttemptEnd(m *message, c *call, result *outcome) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.attempts - 1,
+func (r *Relay) handleAttemptEnd(msg *message, c *call, result *outcome) {
+	policyEvent := decide.Event{Kind: decide.EvOutcome, Message: msg.num, Attempt: msg.attempts - 1,
 		Outcome: result.what, Wait: result.wait,
-		Slots: result.slots, Crowded: result.crowded, Settled: result.settled || m.ended,
+		Slots: result.slots, Crowded: result.crowded, Settled: result.settled || msg.ended,
 		Took: result.took, Load: result.load}
 	if c.ep != nil {
-		e.Endpoint = c.ep.num
+		policyEvent.Endpoint = c.ep.num
 	}
-	started := m.call == c
+	started := msg.call == c
 	if started {
-		m.call = nil
+		msg.call = nil
 		switch {
-		case !m.inDoubtSince.IsZero():
+		case !msg.inDoubtSince.IsZero():
 		case result.what.NeverRan(): // no attempt so far may have run, so no time is unknown
-			m.dedupWindowUnknown = false
+			msg.dedupWindowUnknown = false
 		default:
-			m.inDoubtSince = m.lastAttemptAt
+			msg.inDoubtSince = msg.lastAttemptAt
 		}
 		if c.out--; c.out == 0 {
 			r.callsInFlight--
@@ -1006,34 +1011,36 @@
 		}
 	}
 	if r.handedOver {
-		r.forwardOutcome(m, result)
+		r.forwardOutcome(msg, result)
 		return
 	}
-	r.policyEvents = append(r.policyEvents, e)
+	r.policyEvents = append(r.policyEvents, policyEvent)
 	if result.what == decide.Delivered {
-		r.log.Debug("delivered", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(),
-			"took_ms", result.took/1000, "left_ms", r.remainingMS(m))
+		r.log.Debug("delivered", "message", msg.rec.ID, "dest", msg.rec.Dest, "class", msg.rec.Class,
+			"endpoint", policyEvent.Endpoint,
+			"attempt", policyEvent.Attempt, "together", len(c.msgs), "lead", c.lead(),
+			"took_ms", result.took/1000, "left_ms", r.remainingMS(msg))
 	} else {
-		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.lead(), "outcome", int(result.what),
+		r.log.Info("attempt", "message", msg.rec.ID, "dest", msg.rec.Dest, "class", msg.rec.Class,
+			"endpoint", policyEvent.Endpoint,
+			"attempt", policyEvent.Attempt, "together", len(c.msgs), "lead", c.lead(), "outcome", int(result.what),
 			"status", result.status, "took_ms", result.took/1000,
 			"conn_reused", result.reused, "conn_idle_ms", result.idle.Milliseconds(),
 			"err", result.err)
 	}
 	switch {
 	case result.settled:
-		r.wal.submit(&record{Kind: recEnd, ID: m.rec.ID, Ran: true}, nil)
+		r.wal.submit(&record{Kind: recEnd, ID: msg.rec.ID, Ran: true}, nil)
 	case started:
-		r.wal.submit(&record{Kind: recOutcome, ID: m.rec.ID, Ran: !result.what.NeverRan()}, nil)
+		r.wal.submit(&record{Kind: recOutcome, ID: msg.rec.ID, Ran: !result.what.NeverRan()}, nil)
 	}
-	if result.settled && !m.ended {
-		m.ended = true
-		r.dropMessage(m)
-		r.rememberReply(m, resp.OK)
+	if result.settled && !msg.ended {
+		msg.ended = true
+		r.dropMessage(msg)
+		r.rememberReply(msg, resp.OK)
 		return
 	}
-	if m.ended {
-		delete(r.messages, m.num)
+	if msg.ended {
+		delete(r.messages, msg.num)
 	}
 }
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -48,7 +48,7 @@
 // apply to messages handed in from here on. If the address of discovery changes, the watch and the
 // notices move there, including notices that the old address has not confirmed.
 func (r *Relay) applyConfig(cfg *Config) {
-	if err := cfg.checkReplaces(r.cfg); err != nil {
+	if err := cfg.checkCanReplace(r.cfg); err != nil {
 		r.log.Error("new configuration not applied, keeping the old one", "err", err)
 		return
 	}
@@ -77,9 +77,9 @@
 	r.notices.moves.put(r.discoveryAddr)
 }
 
-// checkReplaces returns an error if c cannot replace the running configuration old: a key of old is
+// checkCanReplace returns an error if c cannot replace the running configuration old: a key of old is
 // missing, as in a file that is only partly written or was edited by hand, or c allows no attempts.
-func (c *Config) checkReplaces(old *Config) error {
+func (c *Config) checkCanReplace(old *Config) error {
 	if c.Policy.MaxAttempts <= 0 && old.Policy.MaxAttempts > 0 {
 		return fmt.Errorf("config: settings.limits.most_tries: %d, want above 0", c.Policy.MaxAttempts)
 	}
@@ -118,7 +118,7 @@
 			if i == 0 {
 				maps.Copy(commonKeys, object)
 			}
-			maps.DeleteFunc(commonKeys, func(absent string, _ any) bool { _, ok := object[absent]; return !ok })
+			maps.DeleteFunc(commonKeys, func(key string, _ any) bool { _, ok := object[key]; return !ok })
 		}
 		for i, element := range newValue {
 			if absent := missingKey(commonKeys, element, fmt.Sprintf("%s[%d]", path, i)); absent != "" {
@@ -129,10 +129,10 @@
 	return ""
 }
 
-// runPerAddress runs work for an address until another one arrives in moves, then for that one, until
+// runPerAddress runs work for an address until another one arrives in newAddrs, then for that one, until
 // ctx ends. work must return when its context ends, so that work for the old and the new address does
 // not overlap.
-func runPerAddress(ctx context.Context, addr string, moves *mailbox[string],
+func runPerAddress(ctx context.Context, addr string, newAddrs *mailbox[string],
 	work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
 		addrCtx, cancel := context.WithCancel(ctx)
@@ -143,11 +143,11 @@
 		}()
 		select {
 		case <-ctx.Done():
-		case <-moves.ready:
+		case <-newAddrs.ready:
 		}
 		cancel()
 		<-done
-		if addrs := moves.takeAll(nil); len(addrs) > 0 {
+		if addrs := newAddrs.takeAll(nil); len(addrs) > 0 {
 			addr = addrs[len(addrs)-1]
 		}
 	}
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -150,7 +150,7 @@
 		t.Fatalf("got configuration %+v and error %v on reload, want the file's discovery address", again, err)
 	}
 	rewrite(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
-	if again, err = ReloadConfig(getenv); err == nil && again.checkReplaces(start) == nil {
+	if again, err = ReloadConfig(getenv); err == nil && again.checkCanReplace(start) == nil {
 		t.Error("got no error for a file without discovery, want it rejected")
 	}
 }
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		return c.checkReplaces(running)
+		return c.checkCanReplace(running)
 	}
 	if err := read(string(text)); err != nil {
 		t.Fatalf("the same file: %v", err)
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -299,7 +299,7 @@
 		if open := r.now()-e.DoubtAt < rules.DedupWindow; open != want {
 			t.Errorf("unknown %v: the policy takes the window for open: %v", unknown, open)
 		}
-		if late := (part{by: m.retryDeadline()}).late(now); late == want {
+		if late := (part{by: m.repeatUntil()}).late(now); late == want {
 			t.Errorf("unknown %v: a call takes the window for closed: %v", unknown, late)
 		}
 		m.ended = true
