--- a/internal/clock/reading_test.go
+++ b/internal/clock/reading_test.go
@@ -31,7 +31,7 @@
 	now := func(boot string, at Instant, passed time.Duration) Reading {
 		return Reading{BootID: boot, Now: at, Wall: today + UnixMicro(passed.Microseconds())}
 	}
-	for name, x := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		kept Reading
 		now  Reading
 		want time.Duration // time left until the deadline
@@ -47,8 +47,8 @@
 		"absurd":                       {Reading{BootID: "b", Now: 1 << 60, Wall: 1}, now("b", 5e6, 0), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := x.kept.Convert(latest, x.now)
-			left := c.Estimate(deadline).Sub(x.now.Now)
+			c := testCase.kept.Convert(latest, testCase.now)
+			left := c.Estimate(deadline).Sub(testCase.now.Now)
 			if c.SameClock {
 				t.Error("got a conversion between equal clocks, want one by an estimate")
 			}
@@ -58,10 +58,10 @@
 				}
 				return
 			}
-			if c.Estimate(deadline) > 1 && left != x.want {
-				t.Errorf("got %v left until the deadline, want %v", left, x.want)
+			if c.Estimate(deadline) > 1 && left != testCase.want {
+				t.Errorf("got %v left until the deadline, want %v", left, testCase.want)
 			}
-			if longest := c.Latest(deadline).Sub(x.now.Now); longest != 20*time.Second {
+			if longest := c.Latest(deadline).Sub(testCase.now.Now); longest != 20*time.Second {
 				t.Errorf("got at most %v left until the deadline, want 20s", longest)
 			}
 		})
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -38,15 +38,15 @@
 
 // handoverMessage is one line between the two processes, with one of its fields set.
 type handoverMessage struct {
-	Hello        *handoverHello        `json:"hello,omitempty"`   // from the successor; the predecessor replies with one
+	Hello        *handoverHello        `json:"hello,omitempty"`   // from the successor, and in reply from the predecessor
 	Ready        bool                  `json:"take,omitempty"`    // from the successor: it is ready to take over
 	State        *handoverState        `json:"estate,omitempty"`  // from the predecessor, in reply to Ready
 	LogTaken     bool                  `json:"taken,omitempty"`   // from the successor: it owns the log now
-	Outcome      *handoverOutcome      `json:"outcome,omitempty"` // from the predecessor
+	Outcome      *handoverOutcome      `json:"outcome,omitempty"` // from the predecessor: of a call that it finished
 	Cancel       string                `json:"cancel,omitempty"`  // from the successor: the message whose call to cancel
-	Put          *handoverPut          `json:"put,omitempty"`     // from the predecessor
+	Put          *handoverPut          `json:"put,omitempty"`     // from the predecessor: a message of one of its clients
 	Reply        *handoverReply        `json:"answer,omitempty"`  // from the successor, to a Put
-	ReplyWritten *handoverReplyWritten `json:"said,omitempty"`    // from the predecessor
+	ReplyWritten *handoverReplyWritten `json:"said,omitempty"`    // from the predecessor: whether that client got the reply
 	Reload       bool                  `json:"reload,omitempty"`  // from the predecessor: it got the signal to reload
 }
 
@@ -60,10 +60,10 @@
 
 // handoverState is the predecessor's state that is not in its log.
 type handoverState struct {
-	LogName     string                     `json:"log"`   // file name of the predecessor's log
-	EndpointIDs map[decide.Endpoint]string `json:"names"` // by the predecessor's endpoint numbers
-	Memory      *decide.Memory             `json:"memory"`
-	Waits       map[string]decide.Time     `json:"waits"` // end of the waits that endpoints asked for, by endpoint id
+	LogName     string                     `json:"log"`    // file name of the predecessor's log
+	EndpointIDs map[decide.Endpoint]string `json:"names"`  // by the predecessor's endpoint numbers
+	Memory      *decide.Memory             `json:"memory"` // of the policy
+	Waits       map[string]decide.Time     `json:"waits"`  // end of the waits that endpoints asked for, by endpoint id
 	Calls       []inFlightCall             `json:"calls"`
 }
 
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -58,7 +58,7 @@
 	recoveredUntried   bool          // recovered by this process without an attempt, and neither called nor ended since
 }
 
-// retryDeadline returns the moment from which the message must not be sent again, because the
+// repeatUntil returns the moment from which the message must not be sent again, because the
 // endpoint's deduplication window for an attempt that may have run is over. It is zero if there is none.
 func (m *message) repeatUntil() clock.Instant {
 	rules := m.rec.Rules
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -50,14 +50,14 @@
 	env := testConfig(t, first, 3)
 	relay := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
-	put := func(id, f string) {
+	put := func(id, fieldText string) {
 		t.Helper()
-		if reply := client.put(id, f, nil); reply != "+OK" {
+		if reply := client.put(id, fieldText, nil); reply != "+OK" {
 			t.Fatalf("put %s: got reply %s, want +OK", id, reply)
 		}
 	}
 	put("a", fields("plain", 8000, 1))
-	put("unheard", fields("plain", 600, 9))
+	put("unconfirmed", fields("plain", 600, 9))
 	waitFor(t, "a message at the first endpoint", func() bool { return before.count("a") == 1 })
 	// A load of one message at a time runs during all that follows.
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -94,7 +94,7 @@
 		defer second.mu.Unlock()
 		return second.fetches == 1 && len(second.froms) == 1 && second.froms[0] == "0"
 	})
-	waitFor(t, "a notice at the second address", func() bool { _, ok := second.notice("unheard"); return ok })
+	waitFor(t, "a notice at the second address", func() bool { _, ok := second.notice("unconfirmed"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
 		id := fmt.Sprintf("b%d", seq.Add(1))
 		put(id, fields("plain", 8000, 1))
