--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -46,7 +46,7 @@
 	Cancel       string                `json:"cancel,omitempty"`  // from the successor: the message whose call to cancel
 	Put          *handoverPut          `json:"put,omitempty"`     // from the predecessor: a message of one of its clients
 	Reply        *handoverReply        `json:"answer,omitempty"`  // from the successor, to a Put
-	ReplyWritten *handoverReplyWritten `json:"said,omitempty"`    // from the predecessor: whether that client got the reply
+	ReplyWritten *handoverReplyWritten `json:"said,omitempty"`    // from the predecessor: whether the client got it
 	Reload       bool                  `json:"reload,omitempty"`  // from the predecessor: it got the signal to reload
 }
 
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -369,13 +369,15 @@
 				r.lastCallNum++
 				c.num = r.lastCallNum
 			}
-			policyEvent.OutOn, policyEvent.OutAt, policyEvent.Call = c.ep.num, r.policyTime(rec.Out), c.num
+			policyEvent.OutOn, policyEvent.OutAt, policyEvent.Call =
+				c.ep.num, r.policyTime(rec.Out), c.num
 		} else if msg.recoveredUntried = rec.Tries == 0; msg.recoveredUntried {
 			r.untried.found++
 		}
 		r.policyEvents = append(r.policyEvents, policyEvent)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
-			"may_have_run", rec.Doubt != 0, "out", msg.call != nil, "left", time.Duration(policyEvent.Left)*time.Microsecond)
+			"may_have_run", rec.Doubt != 0, "out", msg.call != nil,
+			"left", time.Duration(policyEvent.Left)*time.Microsecond)
 	}
 }
 
@@ -952,7 +954,8 @@
 			c.withhold(errTold)
 		}
 	}
-	if apply(source); source.apart || source.num >= madeUp { // no list names the destination of an unlisted endpoint
+	// No list names the destination of an unlisted endpoint.
+	if apply(source); source.apart || source.num >= madeUp {
 		return
 	}
 	r.endpointBuffer = r.directory.Of(source.cell, r.endpointBuffer[:0])
