--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -199,7 +199,7 @@
 	}
 	member := Member{ID: "s-1", HostPort: addr, Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}
 	r.told(t, &List{Complete: true, Members: []Member{member}})
-	r.events = nil
+	r.policyEvents = nil
 	ep := r.named("s-1")
 	var msgs []*message
 	for _, id := range []string{"short", "off", "last"} {
@@ -209,46 +209,46 @@
 		if id == "short" {
 			at = r.now() + 1500000 // 1.5 s, long enough for the call to be written first
 		}
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, TimeoutAt: at})
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: ep.num, TimeoutAt: at})
 		msgs = append(msgs, m)
 	}
-	if len(r.forming) != 1 {
-		t.Fatalf("calls formed: got %d, want 1", len(r.forming))
+	if len(r.formingCalls) != 1 {
+		t.Fatalf("calls formed: got %d, want 1", len(r.formingCalls))
 	}
-	c := r.forming[0]
-	r.gathered()
+	c := r.formingCalls[0]
+	r.dispatchCalls()
 	confirmRecords()
 	if ids, _ := decodeBatch(t, <-received); len(ids) != 3 || ids[0] == "short" || ids[2] != "short" {
 		t.Errorf("messages in the call: got %v, want all three, with the shortest timeout last", ids)
 	}
 	takeEvents := func() {
 		var got []event
-		waitFor(t, "an event", func() bool { got = r.in.takeAll(nil); return len(got) > 0 })
+		waitFor(t, "an event", func() bool { got = r.inbox.takeAll(nil); return len(got) > 0 })
 		for _, e := range got {
-			r.take(e)
+			r.handleEvent(e)
 		}
 	}
 	takeEvents()
-	if len(r.events) != 1 || r.events[0].Message != msgs[0].num || r.events[0].Outcome != decide.TimedOut {
-		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message", r.events)
+	if len(r.policyEvents) != 1 || r.policyEvents[0].Message != msgs[0].num || r.policyEvents[0].Outcome != decide.TimedOut {
+		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message", r.policyEvents)
 	}
 	cancel := func(m *message) {
-		r.act(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
-		r.gathered()
-		r.events = nil
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
+		r.dispatchCalls()
+		r.policyEvents = nil
 		takeEvents()
-		if len(r.events) != 1 || r.events[0].Message != m.num || r.events[0].Outcome != decide.Cancelled {
-			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID, r.events)
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Message != m.num || r.policyEvents[0].Outcome != decide.Cancelled {
+			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID, r.policyEvents)
 		}
 	}
 	cancel(msgs[1])
-	if c.ctx.Err() != nil || r.calls != 1 {
-		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1", r.calls)
+	if c.ctx.Err() != nil || r.callsInFlight != 1 {
+		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1", r.callsInFlight)
 	}
 	cancel(msgs[2])
 	<-closed
-	if r.calls != 0 || len(ep.calls) != 0 {
-		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0", r.calls, len(ep.calls))
+	if r.callsInFlight != 0 || len(ep.calls) != 0 {
+		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0", r.callsInFlight, len(ep.calls))
 	}
 	r.pool.sweep(func(*poolConn) bool { return true })
 }
@@ -266,11 +266,11 @@
 	for _, id := range []string{"a", "b", "c"} {
 		req := &putRequest{record: &record{ID: id, Class: "plain", Dest: 7}, reply: make(chan string, 1)}
 		m := r.newMessage(req.record)
-		r.waiting[req] = m
-		r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, TimeoutAt: at})
+		r.unanswered[req] = m
+		r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: num, TimeoutAt: at})
 		requests = append(requests, req)
 	}
-	c := r.forming[0]
+	c := r.formingCalls[0]
 	r.replyWritten(requests[0], true)
 	r.replyWritten(requests[1], true)
 	if c.cancel != nil {
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -116,7 +116,7 @@
 	if request.record.Key = values["k"]; request.record.Key != "" && !isHeaderToken(request.record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if request.record.Key == "" && c.keyed(classIndex) {
+	if request.record.Key == "" && c.isKeyed(classIndex) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return request, nil
@@ -197,21 +197,21 @@
 
 // readUntil sets the read deadline.
 func (cc *clientConn) readUntil(at clock.Instant) {
-	cc.SetReadDeadline(clock.Deadline(clock.Until(cc.clock, at)))
+	cc.SetReadDeadline(clock.DeadlineIn(clock.Until(cc.clock, at)))
 }
 
 // beginClose ends the wait for the next request permanently, which closes the connection. A request whose first byte
 // has been read is answered first. The caller holds clients.mu.
 func (cc *clientConn) beginClose() {
 	cc.closing = true
-	cc.SetReadDeadline(clock.Past)
+	cc.SetReadDeadline(clock.ExpiredDeadline)
 }
 
 func newClients(cfg *Config, clk clock.Clock, log *slog.Logger, submit func(*putRequest),
 	replyWritten func(*putRequest, bool)) *clients {
-	maxConns, _ := cfg.budget()
+	maxConns, _ := cfg.socketBudget()
 	return &clients{cfg: cfg, clock: clk, log: log, submit: submit, replyWritten: replyWritten, maxConns: maxConns,
-		firstCommandTimeout: firstCommandTimeout, commandTimeout: cmp.Or(cfg.commandTime, commandTimeout),
+		firstCommandTimeout: firstCommandTimeout, commandTimeout: cmp.Or(cfg.commandTimeout, commandTimeout),
 		idleTimeout: idleTimeout, conns: map[*clientConn]bool{}}
 }
 
@@ -473,9 +473,9 @@
 		return
 	}
 	if cc.sentCommand { // the deadline of the first command was set when the connection was accepted
-		cc.SetReadDeadline(clock.Deadline(c.commandTimeout))
+		cc.SetReadDeadline(clock.DeadlineIn(c.commandTimeout))
 	} else if cc.closing {
-		cc.SetReadDeadline(clock.Deadline(c.firstCommandTimeout))
+		cc.SetReadDeadline(clock.DeadlineIn(c.firstCommandTimeout))
 	}
 }
 
@@ -492,7 +492,7 @@
 func (c *clients) awaitRequest(cc *clientConn) {
 	switch {
 	case cc.readStopped || cc.closing || c.draining() && cc.inFlight == 0:
-		cc.SetReadDeadline(clock.Past)
+		cc.SetReadDeadline(clock.ExpiredDeadline)
 	case cc.inFlight > 0:
 		cc.SetReadDeadline(time.Time{})
 	default:
@@ -526,7 +526,7 @@
 	if cc.readStopped {
 		return false
 	}
-	cc.SetReadDeadline(clock.Deadline(c.commandTimeout))
+	cc.SetReadDeadline(clock.DeadlineIn(c.commandTimeout))
 	return true
 }
 
@@ -653,7 +653,7 @@
 }
 
 func (c *clients) writeReply(cc *clientConn, reply string) bool {
-	cc.SetWriteDeadline(clock.Deadline(replyWriteTimeout))
+	cc.SetWriteDeadline(clock.DeadlineIn(replyWriteTimeout))
 	_, err := writeAll(cc.Conn, []byte(reply))
 	cc.replied, cc.writeFailed = true, err != nil
 	return err == nil
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -160,7 +160,7 @@
 	m.acknowledged = true
 	m.call = newTestCall()
 	m.call.msgs = []*message{m}
-	r.ended(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, noticeHandedBack)
+	r.handleFinalAction(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, noticeHandedBack)
 	if m.call.commitLastByte([]callItem{{message: m}}, r.clock.Now()) {
 		t.Error("its call may still be written")
 	}
@@ -358,8 +358,8 @@
 			other+","+acme, floors))
 		again, _ := decodeRecord(text)
 		again.markInFlightInDoubt()
-		after.restore([]*record{again}, nil)
-		e := after.events[len(after.events)-1]
+		after.restoreMessages([]*record{again}, nil)
+		e := after.policyEvents[len(after.policyEvents)-1]
 		if e.MayHaveRunZone != in || e.Tenant != 1 || e.OriginalClass.Name != "keyed" || *e.OriginalClass != keyed || e.OriginalMaxAttempts != 3 || e.Attempts != 1 || e.MayHaveRunAt == 0 {
 			t.Errorf("floors %s: %+v, rules %+v", floors, e, e.OriginalClass)
 		}
@@ -374,14 +374,14 @@
 		r.wal = &wal{queue: newMailbox[walOp]()}
 		c := newTestCall()
 		c.ep = &endpoint{num: 1, calls: map[*call]bool{c: true}}
-		r.calls = 1
+		r.callsInFlight = 1
 		m := r.newMessage(&record{ID: "m", Class: "once"})
-		m.acknowledged, m.tries, m.call = true, 1, c
+		m.acknowledged, m.attempts, m.call = true, 1, c
 		c.msgs, c.unfinished = []*message{m}, 1
-		r.returned(c, m, &callResult{outcome: decide.TimedOut, err: context.DeadlineExceeded})
-		r.returned(c, nil, &callResult{outcome: late, settled: late == decide.Delivered, status: 200})
-		if len(r.events) != 1 || r.events[0].Outcome != decide.TimedOut || r.calls != 0 || len(c.ep.calls) != 0 || m.over {
-			t.Errorf("%d events, %d calls, over %v", len(r.events), r.calls, m.over)
+		r.handleCallResult(c, m, &callResult{outcome: decide.TimedOut, err: context.DeadlineExceeded})
+		r.handleCallResult(c, nil, &callResult{outcome: late, settled: late == decide.Delivered, status: 200})
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Outcome != decide.TimedOut || r.callsInFlight != 0 || len(c.ep.calls) != 0 || m.ended {
+			t.Errorf("%d events, %d calls, over %v", len(r.policyEvents), r.callsInFlight, m.ended)
 		}
 		if ops := r.wal.queue.takeAll(nil); len(ops) != 1 || !ops[0].rec.MayHaveRun {
 			t.Errorf("logged %d records", len(ops))
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -121,7 +121,7 @@
 }
 
 // run watches one address after another until ctx ends.
-func (d *discovery) run(ctx context.Context) { atEach(ctx, d.addr, d.addresses, d.watchAddress) }
+func (d *discovery) run(ctx context.Context) { runPerAddress(ctx, d.addr, d.addresses, d.watchAddress) }
 
 // watchAddress watches one address until ctx ends. Revisions are valid at that address only, so it requests the full
 // list first, except at the start of a relay that already has a list: that relay opens a watch from its known
@@ -508,7 +508,7 @@
 }
 
 // run sends to one address after another until ctx ends.
-func (n *notices) run(ctx context.Context) { atEach(ctx, n.addr, n.addresses, n.sendTo) }
+func (n *notices) run(ctx context.Context) { runPerAddress(ctx, n.addr, n.addresses, n.sendTo) }
 
 // sendTo sends notices to one address until ctx ends. Notices that are not confirmed there stay pending for the next
 // address.
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -296,7 +296,7 @@
 		fail(outcome, err)
 		return
 	}
-	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 	reported := false
 	reusable := readResponse(conn, req, items, loadFields, func(result callResult) {
 		reported = true
@@ -355,7 +355,7 @@
 			conn.put()
 			return fail(decide.NotSent, err)
 		}
-		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 		err = conn.writeRequest(ctx, text, func() bool { return c.commitLastByte(items, clk.Now()) })
 		if err == nil {
 			unwatch() // the caller watches ctx from here on
@@ -502,7 +502,7 @@
 // the timer; the timeout of the call applies all the same.
 func (c *poolConn) startStallTimer(d time.Duration) (stop func() bool) {
 	c.stallTimeout = d
-	c.stallTimer = time.AfterFunc(d, func() { c.SetReadDeadline(clock.Past) })
+	c.stallTimer = time.AfterFunc(d, func() { c.SetReadDeadline(clock.ExpiredDeadline) })
 	return func() bool {
 		c.stallTimeout = 0
 		return c.stallTimer.Stop()
@@ -638,7 +638,7 @@
 		}
 		result.outcome = decide.ConnectFailed
 		conn.readBudget = maxResponseBytes
-		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.Past) })
+		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(clock.ExpiredDeadline) })
 		reusable := false
 		if err = conn.writeRequest(ctx, text.Bytes(), func() bool { return true }); err == nil {
 			reusable = readResponse(conn, req, nil, nil, func(response callResult) {
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -274,7 +274,7 @@
 		sending.ep.calls[sending] = true
 		throttled := newTestCall()
 		throttled.ep = calls[0].ep
-		r.returned(throttled, nil, &callResult{outcome: decide.Rejected, retryAfter: 700e3})
+		r.handleCallResult(throttled, nil, &callResult{outcome: decide.Rejected, retryAfter: 700e3})
 		for i, cancelled := range []bool{true, !separate, false} {
 			if got := calls[i].stage.Load() == callCancelled; got != cancelled || got != (calls[i].ctx.Err() != nil) {
 				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got, cancelled)
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -242,7 +242,7 @@
 	for _, id := range []string{"owed", "new"} {
 		expectBusy(t, client.put(id, fields("plain", 20000, 1), nil))
 	}
-	time.Sleep(2 * folderRetry) // further retries log nothing
+	time.Sleep(2 * folderRetryInterval) // further retries log nothing
 	if n := logged.count("state folder: failing"); n != 1 || logged.count("folder="+env["ROUTER_STATE"]) != 1 {
 		t.Errorf("failure of the folder logged %d times, want 1 with its path", n)
 	}
@@ -341,7 +341,7 @@
 	delivered := safe.count("safe")
 	_, logged := start()
 	waitFor(t, "the hand-over to be refused",
-		func() bool { return logged.count("the old process does not hand over") == 1 })
+		func() bool { return logged.count("the predecessor does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
 	before := unsafe.count("unsafe")
 	unsafe.then(nil)
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -57,7 +57,7 @@
 		if record.Dest < 0 || record.Dest > 1<<32-1 {
 			t.Errorf("got destination %d, want a 32-bit number", record.Dest)
 		}
-		if cfg.keyed(classIndex) && record.Key == "" {
+		if cfg.isKeyed(classIndex) && record.Key == "" {
 			t.Error("got no key in a keyed class, want an error")
 		}
 		checkRecordRoundTrip(t, record)
--- a/internal/relay/hangup.go
+++ b/internal/relay/hangup.go
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cc.readStopped = true
-	cc.SetReadDeadline(clock.Past)
+	cc.SetReadDeadline(clock.ExpiredDeadline)
 }
 
 // replyToRemaining stops the reading goroutine of a connection that is being closed, and answers the commands that it
@@ -106,7 +106,7 @@
 		return
 	}
 	until := clk.Now().Add(timeout)
-	conn.SetReadDeadline(clock.Deadline(timeout))
+	conn.SetReadDeadline(clock.DeadlineIn(timeout))
 	discarded, _ := io.CopyN(io.Discard, conn, maxLingerBytes)
 	if discarded == maxLingerBytes { // gives the peer time to read its replies before the connection is reset
 		time.Sleep(clock.Until(clk, until))
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -1,6 +1,6 @@
-// Package relay is the real relay round package decide: clients, endpoints,
-// discovery and the log on one side, the policy on the other. It decides
-// nothing; the policy does.
+// Package relay connects the decision module in package decide to the outside world: client
+// connections, calls to endpoints, discovery and the write-ahead log. All scheduling decisions are
+// made by the policy in package decide; this package reports events to it and carries out its actions.
 package relay
 
 import (
@@ -21,173 +21,176 @@
 	"troutusher/internal/resp"
 )
 
-// Figures of a planned end. A relay has 3.7 s from SIGTERM until it is killed.
+// Shutdown and startup times. The shutdown times count from SIGTERM; a relay is killed 3.7 s after it.
 const (
-	stopListen = 1000 * time.Millisecond // new connections still come for a while
-	stopUnsafe = 1200 * time.Millisecond // no unsafe call begins after this: cut short, it would be lost
-	stopSends  = 2200 * time.Millisecond // no call at all
-	stopReads  = 3100 * time.Millisecond // no more is read of what clients send
-	stopCalls  = 3300 * time.Millisecond // what is out by then stays open in the log
-	stopRetry  = 400                     // ms after which a client may come again, to another relay
-	firstList  = 1500 * time.Millisecond // how long the start waits for discovery
-	firstNews  = 300 * time.Millisecond  // the same where a list is known: clients have waited enough
-	forgetGone = decide.Time(10e6)       // how long an endpoint that left is remembered
-	// policyEpoch is the policy's time at the clock's origin. Whatever an earlier process left lies
-	// behind it, and the policy knows no time below one.
+	closeListenerAfter    = 1000 * time.Millisecond // until then clients may still connect
+	stopUnsafeCallsAfter  = 1200 * time.Millisecond // an unsafe message whose call is cut short would be lost
+	stopCallsAfter        = 2200 * time.Millisecond // no call of any class begins after this
+	stopReadingAfter      = 3100 * time.Millisecond // nothing more is read from clients after this
+	exitAfter             = 3300 * time.Millisecond // calls still in flight then stay open in the log
+	shutdownRetryMS       = 400                     // ms after which a refused client may retry, at another relay
+	initialListTimeout    = 1500 * time.Millisecond // how long the start waits for the first list
+	knownListTimeout      = 300 * time.Millisecond  // the same if the configuration has a list: clients are waiting
+	goneEndpointRetention = decide.Time(10e6)       // how long an endpoint that left the list is remembered
+	// policyEpoch is the policy's time at the clock's origin. It is large so that times left by an
+	// earlier process, which lie before the origin, stay positive: the policy requires times of 1 or more.
 	policyEpoch = decide.Time(1 << 45)
 )
 
-// message is what the loop knows of a message from when it is handed in until
-// it is over and its last call is back.
+// message is the loop's state of a message, from when a client hands it in until it has ended and its
+// last call has returned.
 type message struct {
-	num              uint32
-	rec              *record
-	req              *putRequest // until it is answered
-	acknowledged     bool        // its client knows that it is taken on
-	logged           bool        // the log has it, or will
-	over             bool        // the policy has ended it, or was told so
-	tries            int
-	sent             clock.Instant // its last attempt
-	doubt            clock.Instant // the first attempt that may have run; zero for none
-	until            decide.Time   // when its last send times out
-	windowUnknown    bool          // an earlier process made the attempt that may have run, and its time is not known
-	pending          *call         // waits for the clients of all its messages to have heard
-	ending           *record       // its end, likewise
-	call             *call         // out
-	cancelling       bool          // the policy has called its attempt off in this step
-	recoveredUntried bool          // by this start, taken on and never tried, and neither called nor ended since
-}
-
-// repeatBy is the moment from which a message may not be sent again, since an attempt
-// that may have run is longer ago than repeats are dropped; zero for never.
-func (m *message) repeatBy() clock.Instant {
-	c := m.rec.Rules
+	num                uint32
+	rec                *record
+	req                *putRequest   // the client's request; nil once the message is refused or submitted to the log
+	acknowledged       bool          // the client has received the reply that the message is accepted
+	logged             bool          // its record has been submitted to the log
+	ended              bool          // the policy has ended it, or has been told that it ended
+	attempts           int           // attempts so far, counting those of earlier processes
+	lastAttemptAt      clock.Instant // start of the last attempt
+	inDoubtSince       clock.Instant // start of the first attempt that may have run; zero if there is none
+	attemptDeadline    decide.Time   // when the last attempt times out
+	dedupWindowUnknown bool          // an earlier process made the attempt that may have run, at an unknown time
+	pendingCall        *call         // not started yet: it waits until the clients of all its messages have their replies
+	pendingNotice      *record       // the message's end, held back until the client has its reply
+	call               *call         // the call in flight
+	cancelling         bool          // the policy cancelled the attempt in the current step
+	recoveredUntried   bool          // recovered by this process without an attempt, and neither called nor ended since
+}
+
+// repeatUntil returns the moment from which the message must not be sent again, because the
+// endpoint's deduplication window for an attempt that may have run is over. It is zero if there is none.
+func (m *message) repeatUntil() clock.Instant {
+	rules := m.rec.Rules
 	switch {
-	case m.doubt.IsZero() || c == nil || c.Idempotency != decide.Deduplicated:
+	case m.inDoubtSince.IsZero() || rules == nil || rules.Idempotency != decide.Deduplicated:
 		return 0
-	case m.windowUnknown:
+	case m.dedupWindowUnknown:
 		return 1
 	}
-	return m.doubt + clock.Instant(c.DedupWindow)
+	return m.inDoubtSince + clock.Instant(rules.DedupWindow)
 }
 
-// windowClosed gives the latest moment, in the policy's time, of an attempt whose window for
-// repeats is over by now.
-func windowClosed(rules *decide.Class, now decide.Time) decide.Time {
+// latestExpiredAttempt returns the latest start of an attempt, in the policy's time, whose
+// deduplication window is over at now.
+func latestExpiredAttempt(rules *decide.Class, now decide.Time) decide.Time {
 	return max(now-rules.DedupWindow, 1)
 }
 
-// event is something that the loop is told.
+// event is one input of the loop. Usually one field is set; the comments name those that go together.
 type event struct {
-	submitted   *putRequest
-	replied     *putRequest        // with ok
-	unlogged    *putRequest        // the log could not take it
-	update      *membership.Update // a list that was read whole
-	drains      bool               // a list being read says that endpoints drain
-	config      *Config            // a new one
-	call        *call              // with result; of msg alone, where that is set
-	msg         *message
-	peer        *peer // another process of this relay says hand, or is gone
-	line        *handoverMessage
-	recovered   []*record   // left by a process that has ended
-	soleProcess bool        // no other process of this relay runs any more
-	forwarded   *putRequest // answered with reply, by way of another process
-	reply       string
-	unsent      *message // its attempt did not leave; with call and result
-	probed      decide.Endpoint
-	result      *callResult
-	ok          bool
-	stop        bool
-	log         logState // it has changed
-}
-
-// Relay is one running relay.
+	submitted      *putRequest
+	replied        *putRequest        // its reply was written if ok is set, otherwise the client is gone
+	unlogged       *putRequest        // the log could not record it
+	update         *membership.Update // a list that was read completely
+	drainAnnounced bool               // a list that is still being read marks endpoints as draining
+	config         *Config            // a new configuration
+	call           *call              // returned with result; for msg alone if that is set
+	msg            *message
+	peer           *peer // another process of this relay sent peerMessage, or is gone if that is nil
+	peerMessage    *handoverMessage
+	recovered      []*record   // messages left by a process that has ended
+	soleProcess    bool        // no other process of this relay runs any more
+	forwarded      *putRequest // of a client of the predecessor; it was answered with reply
+	reply          string
+	unsent         *message        // its attempt was not sent; call and result are set too
+	probedEndpoint decide.Endpoint // its probe ended with result
+	result         *callResult
+	ok             bool
+	stop           bool
+	logState       logState // the log's new state, if it changed
+}
+
+// Relay is a running relay.
 type Relay struct {
-	cfg            *Config
-	log            *slog.Logger
-	policy         *decide.Policy
-	in             *mailbox[event]
-	wal            *wal
-	notices        *notices
-	discovery      *discovery
-	agent          string // the address that both of them use
-	clock          clock.Clock
-	epoch          decide.Time // the policy's time at the clock's origin
-	lastNum        uint32
-	madeUp         decide.Endpoint // the last number made up
-	lastCall       uint64
-	msgs           map[uint32]*message
-	ids            map[string]*message
-	past           endedReplies
-	waiting        map[*putRequest]*message // whose clients have no answer yet
-	directory      *membership.Directory
-	applying       *membership.Update // a list that is being put in force
-	turn           timeSlice
-	changes        []membership.Change
-	view           []membership.Endpoint
-	drains         atomic.Bool
-	endpoints      map[decide.Endpoint]*endpoint // those that something is known or out of
-	leaving        []*endpoint
-	events         []decide.Event
-	actions        []decide.Action
-	forming        []*call    // of the step that is carried out
-	off            []*message // called off in it
-	timers         timers
-	held           int
-	calls          int
-	stopAt         clock.Instant
-	pool           *pool
-	clients        *clients
-	predecessor    *peer // an old process that carries its last calls and clients for this one
-	successor      *peer // a new process that is to take over, or has
-	successorReady bool  // the successor is ready
-	handedOver     bool  // it has taken over
-	sharing        bool  // another process runs beside this one
-	untried        untried
-	outages        map[string]decide.OutageSnapshot // found by this start, of endpoints that no list has named yet
-	reload         Reload
-	ctx            context.Context
+	cfg               *Config
+	log               *slog.Logger
+	policy            *decide.Policy
+	inbox             *mailbox[event]
+	wal               *wal
+	notices           *notices
+	discovery         *discovery
+	discoveryAddr     string // the address that discovery and notices use
+	clock             clock.Clock
+	epoch             decide.Time // the policy's time at the clock's origin
+	lastMessageNum    uint32
+	lastUnlistedNum   decide.Endpoint // last number given to an endpoint that no list names
+	lastCallNum       uint64
+	messages          map[uint32]*message
+	messagesByID      map[string]*message // those that the policy holds
+	endedReplies      endedReplies
+	unanswered        map[*putRequest]*message // requests whose clients have no reply yet
+	directory         *membership.Directory
+	pendingUpdate     *membership.Update // a list that is being applied piece by piece
+	applySlice        timeSlice          // time slice for applying it
+	changeBuffer      []membership.Change
+	endpointBuffer    []membership.Endpoint
+	drainPending      atomic.Bool                   // drainAnnounced is in the inbox and not handled yet
+	endpoints         map[decide.Endpoint]*endpoint // those with calls in flight or state to remember
+	forgetCandidates  []*endpoint                   // to be checked for whether they can be forgotten
+	policyEvents      []decide.Event                // input of the policy's next step
+	actions           []decide.Action
+	formingCalls      []*call    // calls formed in the current step
+	cancelledMessages []*message // messages whose attempts were cancelled in the current step
+	timers            timers
+	heldCount         int // messages that the policy holds
+	callsInFlight     int
+	stoppingSince     clock.Instant // when the stop was requested; zero before
+	pool              *pool
+	clients           *clients
+	predecessor       *peer // the process that handed over to this one and finishes its last calls and clients
+	successor         *peer // the process that takes over from this one, or has done so
+	successorReady    bool  // the successor is ready to take over
+	handedOver        bool  // the successor has taken over
+	sharing           bool  // another process of this relay runs beside this one
+	untried           untriedCounts
+	unlistedOutages   map[string]decide.OutageSnapshot // recovered at startup, of endpoints that no list has named yet
+	reload            Reload
+	ctx               context.Context
 
 	listener   *net.TCPListener
-	listenErr  error // why there is none, where it was to be opened early
-	recovering bool  // the state folder has not been read yet
-	logFails   bool  // nothing can be written to it
+	listenErr  error // why listening early failed
+	recovering bool  // the state folder has failed since the start and has not been read yet
+	logFailing bool  // nothing can be written to the log
 }
 
-// untried counts what this process found taken on and never tried: what was taken on
-// is to be tried, through restarts too.
-type untried struct{ found, called, ended int }
+// untriedCounts counts the messages that an earlier process accepted without any attempt. Accepted
+// messages must be tried, also across restarts.
+type untriedCounts struct{ found, called, ended int }
 
-// logUntried logs it once there is nothing open of it, and at the end of the process.
-func (r *Relay) logUntried(last bool) {
-	u := r.untried
-	if open := u.found - u.called - u.ended; u.found > 0 && (open == 0 || last) {
-		r.log.Info("resumed untried", "found", u.found, "called", u.called, "ended_without", u.ended, "open", open)
+// logUntried logs the counts of recovered untried messages once none is open, and at the end of the process.
+func (r *Relay) logUntried(final bool) {
+	counts := r.untried
+	if open := counts.found - counts.called - counts.ended; counts.found > 0 && (open == 0 || final) {
+		r.log.Info("resumed untried", "found", counts.found, "called", counts.called,
+			"ended_without", counts.ended, "open", open)
 	}
 }
 
+// now returns the present moment in the policy's time.
 func (r *Relay) now() decide.Time { return r.policyTime(r.clock.Now()) }
 
-// policyTime gives a moment as the policy's time.
+// policyTime converts an instant to the policy's time.
 func (r *Relay) policyTime(t clock.Instant) decide.Time { return decide.Time(t) + r.epoch }
 
-// instant gives the moment of the policy's time.
+// instant converts the policy's time to an instant.
 func (r *Relay) instant(t decide.Time) clock.Instant { return clock.Instant(t - r.epoch) }
 
-// Run serves until stop is closed and the end is made, or something fails that
-// a relay cannot go on without. It tells the time by clk.
-func Run(cfg *Config, clk clock.Clock, log *slog.Logger, stop <-chan struct{}, re Reload) error {
+// Run serves until the shutdown that follows the closing of stop is complete, until the process has
+// handed over to a successor and finished its own calls, or until an error that prevents serving.
+// All times are taken from clk.
+func Run(cfg *Config, clk clock.Clock, log *slog.Logger, stop <-chan struct{}, reload Reload) error {
 	policy, err := decide.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, policy: policy, in: newMailbox[event](), clock: clk, epoch: policyEpoch, ctx: ctx,
-		msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*putRequest]*message{},
+	r := &Relay{cfg: cfg, log: log, policy: policy, inbox: newMailbox[event](), clock: clk, epoch: policyEpoch, ctx: ctx,
+		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: cfg.Known}
 	if cfg.KnownErr != nil {
-		log.Error("the list in the configuration is not taken", "err", cfg.KnownErr)
+		log.Error("cannot use the endpoint list in the configuration", "err", cfg.KnownErr)
 	}
 	if r.directory == nil {
 		r.directory = membership.NewDirectory(directoryLimit(&cfg.Limits))
@@ -195,62 +198,64 @@
 	policy.UseDirectory(r)
 	r.pool = newPool(clk, 0, 0, 0)
 	go r.pool.run(ctx)
-	r.clients = newClients(cfg, clk, log, func(q *putRequest) { r.in.put(event{submitted: q}) },
-		func(q *putRequest, ok bool) { r.in.put(event{replied: q, ok: ok}) })
-	if cfg.Ops != "" {
-		go serveOperatorPort(ctx, cfg.Ops, r.clients.operatorCalls(), clk, log)
+	r.clients = newClients(cfg, clk, log, func(req *putRequest) { r.inbox.put(event{submitted: req}) },
+		func(req *putRequest, ok bool) { r.inbox.put(event{replied: req, ok: ok}) })
+	if cfg.OpsAddr != "" {
+		go serveOperatorPort(ctx, cfg.OpsAddr, r.clients.operatorCalls(), clk, log)
 	}
 	go func() {
 		<-stop
-		r.in.put(event{stop: true})
+		r.inbox.put(event{stop: true})
 	}()
 	defer func() {
 		if r.listener != nil {
 			r.listener.Close()
 		}
 	}()
-	var held *logSlots
-	if !r.whenFolderWorks(func() (err error) {
-		held, err = lockLogSlots(cfg.logFolder(), cfg.State)
+	var slots *logSlots
+	if !r.retryUntilFolderWorks(func() (err error) {
+		slots, err = lockLogSlots(cfg.logFolder(), cfg.StateFolder)
 		return err
 	}) {
 		return nil
 	}
-	defer held.release()
-	r.share(len(held.otherSlots) > 0)
+	defer slots.release()
+	r.setSharing(len(slots.otherSlots) > 0)
 	predecessor := r.dialPredecessor()
-	known := int64(-1)
+	knownRevision := int64(-1)
 	if n, _ := r.directory.Len(); n > 0 {
-		known = r.directory.Revision()
+		knownRevision = r.directory.Revision()
 	}
-	r.discovery = newDiscovery(cfg.Discovery, cfg.Policy.Relays, known, clk, log, r.beginList)
+	r.discovery = newDiscovery(cfg.DiscoveryAddr, cfg.Policy.Relays, knownRevision, clk, log, r.beginList)
 	r.discovery.reopenGrace = time.Duration(cfg.Policy.DrainGrace) * time.Microsecond / 2
-	r.notices = newNotices(cfg.Discovery, clk, log, func(id string) { r.wal.submit(&record{Kind: recordEnd, ID: id}, nil) })
-	r.agent, r.reload = cfg.Discovery, re
+	r.notices = newNotices(cfg.DiscoveryAddr, clk, log,
+		func(id string) { r.wal.submit(&record{Kind: recordEnd, ID: id}, nil) })
+	r.discoveryAddr, r.reload = cfg.DiscoveryAddr, reload
 	go r.discovery.run(ctx)
-	go r.follow(ctx, re)
-	r.firstList(known >= 0)
+	go r.watchReloads(ctx, reload)
+	r.awaitInitialList(knownRevision >= 0)
 
-	var out map[string]*call // that the old process carries
+	var predecessorCalls map[string]*call // calls that the predecessor finishes, by message id
 	if predecessor != nil {
-		if e := r.takeOver(predecessor, held); e != nil {
-			out = r.restoreHandover(e, predecessor)
+		if state := r.takeOver(predecessor, slots); state != nil {
+			predecessorCalls = r.restoreHandover(state, predecessor)
 			r.predecessor = predecessor
-			go func() { // the old process may have been told of a newer one meanwhile
-				if again, err := re.Read(); err == nil && !reflect.DeepEqual(again.text, cfg.text) {
-					r.in.put(event{config: again})
+			go func() { // a signal to reload may have gone to the predecessor since this process read the file
+				if latest, err := reload.Read(); err == nil && !reflect.DeepEqual(latest.rawConfig, cfg.rawConfig) {
+					r.inbox.put(event{config: latest})
 				}
 			}()
 		}
 	}
-	var owed []*record
-	if !r.whenFolderWorks(func() (err error) {
-		r.wal, owed, err = openWAL(held, int64(cfg.Limits.DiskMB)<<20, func(id string) bool { return out[id] != nil }, clk, log)
+	var unfinished []*record
+	if !r.retryUntilFolderWorks(func() (err error) {
+		r.wal, unfinished, err = openWAL(slots, int64(cfg.Limits.DiskMB)<<20,
+			func(id string) bool { return predecessorCalls[id] != nil }, clk, log)
 		return err
 	}) {
 		return nil
 	}
-	r.watchLog()
+	r.watchLogHealth()
 	r.wal.start()
 	defer func() {
 		if !r.handedOver {
@@ -258,386 +263,396 @@
 		}
 	}()
 	go r.notices.run(ctx)
-	r.rememberEnded(r.wal.endedRecords())
-	if len(out) == 0 && r.predecessor == nil { // an old process that hands over tells more
+	r.restoreEndedReplies(r.wal.endedRecords())
+	if len(predecessorCalls) == 0 && r.predecessor == nil { // a predecessor that hands over reports the outages itself
 		r.resumeOutages(r.wal.outageRecords())
 	}
-	r.restore(owed, out)
+	r.restoreMessages(unfinished, predecessorCalls)
 	r.recovering = false
 	r.step()
-	ln, err := r.open()
+	listener, err := r.openListener()
 	if err != nil {
 		return err
 	}
 	go r.acceptSuccessors(ctx)
-	go r.watchLogs(ctx, held)
+	go r.adoptOrphanedLogs(ctx, slots)
 	endpoints, destinations := r.directory.Len()
-	log.Info("ready", "name", cfg.Name, "listen", ln.Addr().String(), "endpoints", endpoints, "destinations", destinations, "owed", len(owed),
-		"out", len(out), "beside_another", r.sharing)
-	r.loop(ln)
+	log.Info("ready", "name", cfg.Name, "listen", listener.Addr().String(), "endpoints", endpoints,
+		"destinations", destinations, "owed", len(unfinished),
+		"out", len(predecessorCalls), "beside_another", r.sharing)
+	r.loop(listener)
 	return nil
 }
 
-// firstList waits a while for the whole list: the one in the configuration may
-// be old, and an endpoint that drained since must not be sent to. Where
-// discovery is silent the old one has to do.
-func (r *Relay) firstList(known bool) {
-	wait := firstList
-	if known {
-		wait = firstNews
-	}
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
-	var got []event
-	for heard := false; ; {
+// awaitInitialList waits for a full list from discovery: the one in the configuration may be out of
+// date, and an endpoint that has started draining since must receive no calls. If discovery does not
+// respond in time, the list in the configuration is used.
+func (r *Relay) awaitInitialList(hasKnownList bool) {
+	wait := initialListTimeout
+	if hasKnownList {
+		wait = knownListTimeout
+	}
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
+	var batch []event
+	for received := false; ; {
 		select {
-		case <-r.in.ready:
-			got = r.in.takeAll(got)
-			for _, h := range got {
-				r.take(h)
-				heard = heard || h.update != nil
+		case <-r.inbox.ready:
+			batch = r.inbox.takeAll(batch)
+			for _, ev := range batch {
+				r.handleEvent(ev)
+				received = received || ev.update != nil
 			}
 			r.applyAllChanges()
-			if heard {
+			if received {
 				return
 			}
-		case <-limit.C:
-			r.log.Warn("discovery is silent: the list in the configuration is used")
+		case <-timeout.C:
+			r.log.Warn("no list from discovery in time; using the list in the configuration")
 			return
 		}
 	}
 }
 
-// restore takes up what an earlier process left owed. What is in out has a call
-// that this process carries on with.
-func (r *Relay) restore(owed []*record, out map[string]*call) {
-	for _, rec := range owed {
-		if r.ids[rec.ID] != nil {
-			continue // one owner per id
+// restoreMessages takes over the unfinished messages of an earlier process. Those in predecessorCalls
+// have a call in flight that the predecessor finishes and reports.
+func (r *Relay) restoreMessages(records []*record, predecessorCalls map[string]*call) {
+	for _, rec := range records {
+		if r.messagesByID[rec.ID] != nil {
+			continue // an id has one message at a time
 		}
-		m := r.newMessage(rec)
-		m.acknowledged, m.logged, m.tries, m.sent, m.doubt = true, true, rec.Attempts, rec.InFlightSince, rec.InDoubtSince
-		m.windowUnknown = rec.DedupWindowUnknown
+		msg := r.newMessage(rec)
+		msg.acknowledged, msg.logged, msg.attempts, msg.lastAttemptAt, msg.inDoubtSince =
+			true, true, rec.Attempts, rec.InFlightSince, rec.InDoubtSince
+		msg.dedupWindowUnknown = rec.DedupWindowUnknown
 		if rec.Notice != "" {
-			m.over = true
-			r.drop(m)
+			msg.ended = true
+			r.dropMessage(msg)
 			r.notices.unconfirmed.Add(1)
 			r.notices.incoming.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
 			continue
 		}
-		if rec.Rules == nil { // written before logs kept them
+		if rec.Rules == nil { // a record of an earlier release, which did not log them
 			if class, ok := r.cfg.classes[rec.Class]; ok {
 				rec.Rules, rec.MaxAttempts = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
-			} else { // nothing is known of its effect
-				m.over = true
-				r.drop(m)
-				r.end(m, noticeGivenUp, 0)
+			} else { // whether the message may be repeated is not known
+				msg.ended = true
+				r.dropMessage(msg)
+				r.reportEnd(msg, noticeGivenUp, 0)
 				continue
 			}
 		}
-		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Dest: rec.Dest, Tenant: -1, OriginalClass: rec.Rules, OriginalMaxAttempts: rec.MaxAttempts,
+		policyEvent := decide.Event{Kind: decide.EvMessage, Message: msg.num, Dest: rec.Dest, Tenant: -1,
+			OriginalClass: rec.Rules, OriginalMaxAttempts: rec.MaxAttempts,
 			TimeLeft: r.policyTime(rec.Deadline) - r.now(), Attempts: rec.Attempts, MayHaveRunZone: rec.InDoubtZoneIndex}
 		if rec.InDoubtZoneName != "" {
-			if e.MayHaveRunZone = indexOf(r.cfg.zones, rec.InDoubtZoneName); e.MayHaveRunZone < 0 {
-				e.MayHaveRunZone-- // a zone that is no more, and that of no endpoint
+			if policyEvent.MayHaveRunZone = indexOf(r.cfg.zones, rec.InDoubtZoneName); policyEvent.MayHaveRunZone < 0 {
+				policyEvent.MayHaveRunZone-- // a zone that is no longer configured, which no endpoint matches
 			}
 		}
-		r.directory.Name(rec.Dest) // once, or it would not have been taken on
+		r.directory.Name(rec.Dest) // a list has named it, or the message would not have been accepted
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
-			e.Tenant = t
+			policyEvent.Tenant = t
 		}
 		if rec.InDoubtSince != 0 {
-			e.MayHaveRunAt = r.policyTime(rec.InDoubtSince)
+			policyEvent.MayHaveRunAt = r.policyTime(rec.InDoubtSince)
 			if rec.DedupWindowUnknown {
-				e.MayHaveRunAt = windowClosed(rec.Rules, r.now())
+				policyEvent.MayHaveRunAt = latestExpiredAttempt(rec.Rules, r.now())
 			}
 		}
-		if c := out[rec.ID]; c != nil {
-			m.call = c
-			c.msgs = append(c.msgs, m)
+		if c := predecessorCalls[rec.ID]; c != nil {
+			msg.call = c
+			c.msgs = append(c.msgs, msg)
 			if c.unfinished++; c.unfinished == 1 {
 				c.ep.calls[c] = true
-				r.calls++
-				r.lastCall++
-				c.restoredNum = r.lastCall
+				r.callsInFlight++
+				r.lastCallNum++
+				c.restoredNum = r.lastCallNum
 			}
-			e.InFlightEndpoint, e.InFlightSince, e.InFlightCall = c.ep.num, r.policyTime(rec.InFlightSince), c.restoredNum
-		} else if m.recoveredUntried = rec.Attempts == 0; m.recoveredUntried {
+			policyEvent.InFlightEndpoint, policyEvent.InFlightSince, policyEvent.InFlightCall =
+				c.ep.num, r.policyTime(rec.InFlightSince), c.restoredNum
+		} else if msg.recoveredUntried = rec.Attempts == 0; msg.recoveredUntried {
 			r.untried.found++
 		}
-		r.events = append(r.events, e)
+		r.policyEvents = append(r.policyEvents, policyEvent)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
-			"may_have_run", rec.InDoubtSince != 0, "out", m.call != nil, "left", time.Duration(e.TimeLeft)*time.Microsecond)
+			"may_have_run", rec.InDoubtSince != 0, "out", msg.call != nil,
+			"left", time.Duration(policyEvent.TimeLeft)*time.Microsecond)
 	}
 }
 
+// newMessage adds a message to those that the policy holds.
 func (r *Relay) newMessage(rec *record) *message {
-	r.lastNum++
-	m := &message{num: r.lastNum, rec: rec}
-	r.msgs[m.num], r.ids[rec.ID] = m, m
-	r.held++
-	return m
+	r.lastMessageNum++
+	msg := &message{num: r.lastMessageNum, rec: rec}
+	r.messages[msg.num], r.messagesByID[rec.ID] = msg, msg
+	r.heldCount++
+	return msg
 }
 
-// loop is the one goroutine that the policy belongs to: it drains what has
-// happened, steps the policy, and carries out what it says.
-func (r *Relay) loop(ln *net.TCPListener) {
+// loop is the event loop, the only goroutine that uses the policy: it takes the events from the inbox,
+// steps the policy, and carries out the policy's actions. It returns at the end of the shutdown or of
+// a hand-over.
+func (r *Relay) loop(listener *net.TCPListener) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	listening, reading := true, true
-	var got []event
+	var batch []event
 	for {
 		wait := time.Hour
 		if at := r.timers.next(); at > 0 {
 			wait = time.Duration(at-r.now()+1) * time.Microsecond
 		}
-		if !r.stopAt.IsZero() {
+		if !r.stoppingSince.IsZero() {
 			wait = min(wait, 20*time.Millisecond)
 		}
-		if r.applying != nil {
-			if wait = 0; r.turn.expired(r.clock.Now()) {
+		if r.pendingUpdate != nil {
+			if wait = 0; r.applySlice.expired(r.clock.Now()) {
 				wait = listPause
 			}
 		}
 		timer.Reset(max(wait, 0))
 		select {
-		case <-r.in.ready:
+		case <-r.inbox.ready:
 		case <-timer.C:
 		}
-		got = r.in.takeAll(got)
-		for i := range got {
-			r.take(got[i])
+		batch = r.inbox.takeAll(batch)
+		for i := range batch {
+			r.handleEvent(batch[i])
 		}
-		if r.applying != nil {
+		if r.pendingUpdate != nil {
 			r.applyNextChanges()
 		}
-		if r.timers.due(r.now()) {
-			r.events = append(r.events, decide.Event{Kind: decide.EvTimer})
+		if r.timers.popDue(r.now()) {
+			r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvTimer})
 		}
-		if len(r.events) > 0 {
+		if len(r.policyEvents) > 0 {
 			r.step()
 		}
-		if r.successorReady && r.handOver(ln) {
-			ln.Close()
+		if r.successorReady && r.handOver(listener) {
+			listener.Close()
 			r.finishAfterHandover()
 			return
 		}
-		if r.stopAt.IsZero() {
+		if r.stoppingSince.IsZero() {
 			continue
 		}
-		gone := clock.Since(r.clock, r.stopAt)
-		if listening && gone >= stopListen {
+		elapsed := clock.Since(r.clock, r.stoppingSince)
+		if listening && elapsed >= closeListenerAfter {
 			listening = false
-			ln.Close()
+			listener.Close()
 		}
-		if reading && gone >= stopReads {
+		if reading && elapsed >= stopReadingAfter {
 			reading = false
 			r.clients.stopReadingAll()
 		}
-		// A client may have written its request, or half of it, as its connection was to
-		// go, and an answer may be given but not written; a notice may not have arrived.
-		idle := len(r.waiting) == 0 && r.calls == 0 && (r.held == 0 || gone >= stopSends) &&
+		// Client connections and notices count too: a client may have sent a request, or part of one,
+		// while its connection was being closed, a reply may not be written yet, and a notice may not
+		// have been delivered.
+		idle := len(r.unanswered) == 0 && r.callsInFlight == 0 && (r.heldCount == 0 || elapsed >= stopCallsAfter) &&
 			r.clients.count() == 0 && r.notices.unconfirmed.Load() == 0
-		if !listening && idle || gone >= stopCalls {
+		if !listening && idle || elapsed >= exitAfter {
 			r.logUntried(true)
-			r.log.Info("stopped", "held", r.held, "calls", r.calls)
+			r.log.Info("stopped", "held", r.heldCount, "calls", r.callsInFlight)
 			return
 		}
 	}
 }
 
-// tooLateToSend reports whether a call of a message is no longer begun, since the
-// process will not be there for its end. The policy goes on to hold it to be
-// out; the next process takes the message up from the log.
-func (r *Relay) tooLateToSend(m *message) bool {
-	if r.stopAt.IsZero() {
+// tooLateToCall reports whether the process may exit before a call of the message would end, so that
+// none is started. The policy goes on to count the attempt as in flight; the next process recovers the
+// message from the log.
+func (r *Relay) tooLateToCall(msg *message) bool {
+	if r.stoppingSince.IsZero() {
 		return false
 	}
-	last := stopSends
-	if m.rec.Rules.Idempotency == decide.NonIdempotent {
-		last = stopUnsafe
+	cutoff := stopCallsAfter
+	if msg.rec.Rules.Idempotency == decide.NonIdempotent {
+		cutoff = stopUnsafeCallsAfter
 	}
-	return clock.Since(r.clock, r.stopAt) >= last
+	return clock.Since(r.clock, r.stoppingSince) >= cutoff
 }
 
-// take books one event and says it in the policy's words.
-func (r *Relay) take(h event) {
+// handleEvent applies one event to the relay's state and adds the policy events that follow from it.
+func (r *Relay) handleEvent(ev event) {
 	switch {
-	case h.submitted != nil:
-		r.admit(h.submitted)
-	case h.replied != nil:
-		r.replyWritten(h.replied, h.ok)
-	case h.unlogged != nil:
-		r.notLogged(h.unlogged)
-	case h.update != nil:
-		r.startListUpdate(h.update)
-	case h.drains:
+	case ev.submitted != nil:
+		r.admit(ev.submitted)
+	case ev.replied != nil:
+		r.replyWritten(ev.replied, ev.ok)
+	case ev.unlogged != nil:
+		r.handleUnlogged(ev.unlogged)
+	case ev.update != nil:
+		r.startListUpdate(ev.update)
+	case ev.drainAnnounced:
 		r.applyDrains()
-	case h.config != nil:
-		r.reconfigure(h.config)
-	case h.peer != nil:
-		r.peerSaid(h.peer, h.line)
-	case h.recovered != nil:
-		r.restore(h.recovered, nil)
-	case h.soleProcess:
-		r.share(false)
-	case h.log != logUnchanged:
-		r.logChanged(h.log)
-	case h.forwarded != nil:
-		h.forwarded.replied = true
-		if h.reply != resp.OK && r.predecessor != nil {
-			delete(r.predecessor.puts, h.forwarded.record.ID)
-		}
-	case h.stop && r.stopAt.IsZero():
-		r.stopAt = r.clock.Now()
-		r.log.Info("stopping", "held", r.held, "calls", r.calls)
+	case ev.config != nil:
+		r.applyConfig(ev.config)
+	case ev.peer != nil:
+		r.handlePeerMessage(ev.peer, ev.peerMessage)
+	case ev.recovered != nil:
+		r.restoreMessages(ev.recovered, nil)
+	case ev.soleProcess:
+		r.setSharing(false)
+	case ev.logState != logUnchanged:
+		r.handleLogState(ev.logState)
+	case ev.forwarded != nil:
+		ev.forwarded.replied = true
+		if ev.reply != resp.OK && r.predecessor != nil {
+			delete(r.predecessor.pendingPuts, ev.forwarded.record.ID)
+		}
+	case ev.stop && r.stoppingSince.IsZero():
+		r.stoppingSince = r.clock.Now()
+		r.log.Info("stopping", "held", r.heldCount, "calls", r.callsInFlight)
 		r.clients.shutDown()
-	case h.unsent != nil:
-		r.finished(h.unsent, h.call, h.result)
-	case h.call != nil:
-		r.returned(h.call, h.msg, h.result)
-	case h.probed != 0:
-		r.events = append(r.events, decide.Event{Kind: decide.EvProbeResult, Endpoint: h.probed,
-			Outcome: h.result.outcome, Duration: h.result.elapsed, Load: h.result.load})
-	}
-}
-
-// admit shows a message to the policy. Whether it is taken on shows in the
-// step: what the policy ends there is refused with no further ado.
-func (r *Relay) admit(q *putRequest) {
-	switch old := r.ids[q.record.ID]; {
-	case !r.stopAt.IsZero():
-		q.sendReply(resp.Busy(stopRetry))
+	case ev.unsent != nil:
+		r.handleAttemptEnd(ev.unsent, ev.call, ev.result)
+	case ev.call != nil:
+		r.handleCallResult(ev.call, ev.msg, ev.result)
+	case ev.probedEndpoint != 0:
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvProbeResult, Endpoint: ev.probedEndpoint,
+			Outcome: ev.result.outcome, Duration: ev.result.elapsed, Load: ev.result.load})
+	}
+}
+
+// admit checks a submitted message and passes it to the policy. The next step decides whether it is
+// accepted: a message that the policy ends there is refused.
+func (r *Relay) admit(req *putRequest) {
+	switch existing := r.messagesByID[req.record.ID]; {
+	case !r.stoppingSince.IsZero():
+		req.sendReply(resp.Busy(shutdownRetryMS))
 		return
-	case r.recovering: // it may be ours already
-		q.sendReply(resp.Busy(logRetry))
+	case r.recovering: // the log may hold it already
+		req.sendReply(resp.Busy(logFailureRetryMS))
 		return
-	case old != nil && old.acknowledged: // it is ours already
-		q.sendReply(resp.OK)
+	case existing != nil && existing.acknowledged: // accepted before
+		req.sendReply(resp.OK)
 		return
-	case old != nil:
-		q.sendReply(resp.Error(errors.New("id is being handed in already")))
+	case existing != nil:
+		req.sendReply(resp.Error(errors.New("id is being handed in already")))
 		return
-	case r.past.reply(q.record.ID) != "": // it was ours: sent once more it could run again
-		q.sendReply(r.past.reply(q.record.ID))
+	case r.endedReplies.reply(req.record.ID) != "": // accepted and ended before: sent once more it could run again
+		req.sendReply(r.endedReplies.reply(req.record.ID))
 		return
-	case !r.directory.Named(q.record.Dest):
-		// It would be held for nothing. One whose endpoints are only gone for now
-		// has been named.
-		q.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", q.record.Dest)))
+	case !r.directory.Named(req.record.Dest):
+		// Nothing could be sent to it. A destination whose endpoints are only temporarily gone has been
+		// named before.
+		req.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", req.record.Dest)))
 		return
-	case r.cfg.Policy.MaxHeld > 0 && r.held >= r.cfg.Policy.MaxHeld:
-		q.sendReply(resp.Busy(0))
+	case r.cfg.Policy.MaxHeld > 0 && r.heldCount >= r.cfg.Policy.MaxHeld:
+		req.sendReply(resp.Busy(0))
 		return
-	case r.logFails:
-		q.sendReply(resp.Busy(logRetry))
+	case r.logFailing:
+		req.sendReply(resp.Busy(logFailureRetryMS))
 		return
 	}
-	// It was read under the settings of that moment; those of this one bind.
-	class, ok := r.cfg.classes[q.record.Class]
+	// The settings may have changed since the request was parsed; the current ones apply.
+	class, ok := r.cfg.classes[req.record.Class]
 	if !ok {
-		q.sendReply(resp.Error(fmt.Errorf("c: unknown class %q", q.record.Class)))
+		req.sendReply(resp.Error(fmt.Errorf("c: unknown class %q", req.record.Class)))
 		return
 	}
-	q.record.Rules, q.record.MaxAttempts = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
+	req.record.Rules, req.record.MaxAttempts = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
 	tenant := -1
-	if t, ok := r.cfg.tenants[q.record.Tenant]; ok {
+	if t, ok := r.cfg.tenants[req.record.Tenant]; ok {
 		tenant = t
 	}
-	m := r.newMessage(q.record)
-	m.req = q
-	r.waiting[q] = m
-	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class,
-		Dest: q.record.Dest, Tenant: tenant, TimeLeft: r.policyTime(q.record.Deadline) - r.now()})
+	msg := r.newMessage(req.record)
+	msg.req = req
+	r.unanswered[req] = msg
+	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessage, Message: msg.num, Class: class,
+		Dest: req.record.Dest, Tenant: tenant, TimeLeft: r.policyTime(req.record.Deadline) - r.now()})
 }
 
-// replyWritten: the client has its answer, or left before it.
-func (r *Relay) replyWritten(q *putRequest, ok bool) {
-	m := r.waiting[q]
-	if m == nil {
+// replyWritten handles the end of writing a reply: the client has received it, or has disconnected before.
+func (r *Relay) replyWritten(req *putRequest, written bool) {
+	msg := r.unanswered[req]
+	if msg == nil {
 		return
 	}
-	delete(r.waiting, q)
-	if !ok {
-		r.withdraw(m)
+	delete(r.unanswered, req)
+	if !written {
+		r.withdraw(msg)
 		return
 	}
-	m.acknowledged = true
-	r.log.Debug("taken", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "left_ms", r.leftMS(m))
-	if c := m.pending; c != nil {
-		r.launch(c)
+	msg.acknowledged = true
+	r.log.Debug("taken", "message", msg.rec.ID, "class", msg.rec.Class, "dest", msg.rec.Dest,
+		"left_ms", r.remainingMS(msg))
+	if c := msg.pendingCall; c != nil {
+		r.startCall(c)
 	}
-	if e := m.ending; e != nil {
-		m.ending = nil
-		r.end(m, e.Notice, e.RetryMS)
+	if notice := msg.pendingNotice; notice != nil {
+		msg.pendingNotice = nil
+		r.reportEnd(msg, notice.Notice, notice.RetryMS)
 	}
 }
 
-// notLogged: the message could not be logged, so it is not taken on.
-func (r *Relay) notLogged(q *putRequest) {
-	if m := r.waiting[q]; m != nil {
-		delete(r.waiting, q)
+// handleUnlogged refuses a message that could not be logged.
+func (r *Relay) handleUnlogged(req *putRequest) {
+	if m := r.unanswered[req]; m != nil {
+		delete(r.unanswered, req)
 		r.withdraw(m)
 	}
-	q.sendReply(resp.Busy(logRetry))
+	req.sendReply(resp.Busy(logFailureRetryMS))
 }
 
-// withdraw: nobody wants the message any more, and nobody was told it is ours.
-func (r *Relay) withdraw(m *message) {
-	if m.logged {
-		r.wal.submit(&record{Kind: recordEnd, ID: m.rec.ID}, nil)
+// withdraw ends a message whose client was not told that it is accepted: nobody is owed its outcome.
+func (r *Relay) withdraw(msg *message) {
+	if msg.logged {
+		r.wal.submit(&record{Kind: recordEnd, ID: msg.rec.ID}, nil)
 	}
-	m.ending = nil
-	if !m.over {
-		m.over = true
-		r.drop(m)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+	msg.pendingNotice = nil
+	if !msg.ended {
+		msg.ended = true
+		r.dropMessage(msg)
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvWithdraw, Message: msg.num})
 	}
-	if m.pending != nil {
-		r.pull(m)
+	if msg.pendingCall != nil {
+		r.removeFromPendingCall(msg)
 	}
 }
 
-// drop: the policy holds the message no longer.
-func (r *Relay) drop(m *message) {
-	r.held--
-	delete(r.ids, m.rec.ID)
-	if m.call == nil && m.pending == nil {
-		delete(r.msgs, m.num)
+// dropMessage removes a message that the policy no longer holds. It stays in messages while it has a call.
+func (r *Relay) dropMessage(msg *message) {
+	r.heldCount--
+	delete(r.messagesByID, msg.rec.ID)
+	if msg.call == nil && msg.pendingCall == nil {
+		delete(r.messages, msg.num)
 	}
 }
 
-// endedReplies holds the answers to messages that were taken on and are over, should
-// one be handed in once more under the same id: by a client whose connection
-// broke, or by a peer that repeats what it has seen. None is forgotten before a
-// turn has passed since its end.
+// endedReplies holds the replies for accepted messages that have ended, in case one is handed in again
+// under the same id: by a client whose connection broke, or by a peer that resends what it has seen. Two
+// generations are kept, so that a reply is kept for at least the retention time after the message's end.
 type endedReplies struct {
-	fresh, old map[string]string
-	turnedAt   decide.Time
+	current, previous map[string]string
+	rotatedAt         decide.Time
 }
 
-func (p *endedReplies) add(id, reply string, now, turn decide.Time) {
-	if p.fresh == nil || now-p.turnedAt >= turn {
-		p.fresh, p.old, p.turnedAt = map[string]string{}, p.fresh, now
+// add keeps the reply for a message id. It begins a new generation, and drops the previous one, if the
+// current one is older than the retention time.
+func (p *endedReplies) add(id, reply string, now, retention decide.Time) {
+	if p.current == nil || now-p.rotatedAt >= retention {
+		p.current, p.previous, p.rotatedAt = map[string]string{}, p.current, now
 	}
-	p.fresh[id] = reply
+	p.current[id] = reply
 }
 
-// reply is empty where the id is not known.
-func (p *endedReplies) reply(id string) string { return cmp.Or(p.fresh[id], p.old[id]) }
+// reply returns the reply for a message id, or "" if none is kept.
+func (p *endedReplies) reply(id string) string { return cmp.Or(p.current[id], p.previous[id]) }
 
-// remember keeps how a message ended, for as long as any message may live.
-func (r *Relay) remember(m *message, reply string) {
-	turn := decide.Time(0)
-	for _, c := range r.cfg.Policy.Classes {
-		turn = max(turn, c.Deadline)
+// rememberReply keeps the reply that states how a message ended, for the longest deadline of any class.
+func (r *Relay) rememberReply(msg *message, reply string) {
+	retention := decide.Time(0)
+	for _, class := range r.cfg.Policy.Classes {
+		retention = max(retention, class.Deadline)
 	}
-	r.past.add(m.rec.ID, reply, r.now(), turn)
+	r.endedReplies.add(msg.rec.ID, reply, r.now(), retention)
 }
 
-// rememberEnded takes up which messages have ended under an earlier process.
-func (r *Relay) rememberEnded(ended []*record) {
-	for _, rec := range ended {
+// restoreEndedReplies restores the replies for messages that ended under an earlier process.
+func (r *Relay) restoreEndedReplies(records []*record) {
+	for _, rec := range records {
 		reply := resp.OK
 		switch rec.Notice {
 		case noticeHandedBack:
@@ -645,222 +660,227 @@
 		case noticeGivenUp:
 			reply = resp.Error(errors.New("given up"))
 		}
-		r.remember(&message{rec: rec}, reply)
+		r.rememberReply(&message{rec: rec}, reply)
 	}
 }
 
-// step lets the policy decide on what has happened, and acts.
+// step passes the collected events to the policy and carries out the actions it returns.
 func (r *Relay) step() {
-	events := r.events
-	r.events = nil
-	fresh := make([]*message, 0, len(events))
+	events := r.policyEvents
+	r.policyEvents = nil
+	submitted := make([]*message, 0, len(events))
 	for i := range events {
 		if events[i].Kind == decide.EvMessage {
-			if m := r.msgs[events[i].Message]; m != nil && m.req != nil {
-				fresh = append(fresh, m)
+			if msg := r.messages[events[i].Message]; msg != nil && msg.req != nil {
+				submitted = append(submitted, msg)
 			}
 		}
 	}
 	now := r.now()
 	r.actions = r.policy.Step(now, events, r.actions[:0])
-	// First the ends, so that what was never taken on is not logged; then the
-	// log, so that no send comes before it.
+	// Final actions come first, so that refused messages are not logged; then the log records, so that
+	// no message is sent before it is logged.
 	for i := range r.actions {
-		switch a := &r.actions[i]; a.Kind {
+		switch action := &r.actions[i]; action.Kind {
 		case decide.ActRefuse:
-			r.ended(a, noticeHandedBack)
+			r.handleFinalAction(action, noticeHandedBack)
 		case decide.ActFail:
-			r.ended(a, noticeGivenUp)
+			r.handleFinalAction(action, noticeGivenUp)
 		}
 	}
-	for _, m := range fresh {
-		if m.req != nil && !m.over {
-			r.takeOn(m)
+	for _, msg := range submitted {
+		if msg.req != nil && !msg.ended {
+			r.acceptMessage(msg)
 		}
 	}
 	for i := range r.actions {
-		r.act(now, &r.actions[i])
+		r.performAction(now, &r.actions[i])
 	}
-	r.gathered()
+	r.dispatchCalls()
 }
 
-// gathered ends the calls that no message wants any more, and makes those that
+// dispatchCalls cancels the attempts that the policy cancelled in this step, and starts the calls that
 // the step has formed.
-func (r *Relay) gathered() {
-	for _, m := range r.off {
-		if m.call != nil {
-			r.callOff(m.call, m)
+func (r *Relay) dispatchCalls() {
+	for _, msg := range r.cancelledMessages {
+		if msg.call != nil {
+			r.cancelAttempt(msg.call, msg)
 		}
 	}
-	for _, c := range r.forming {
-		r.launch(c)
+	for _, c := range r.formingCalls {
+		r.startCall(c)
 	}
-	clear(r.off)
-	clear(r.forming)
-	r.off, r.forming = r.off[:0], r.forming[:0]
+	clear(r.cancelledMessages)
+	clear(r.formingCalls)
+	r.cancelledMessages, r.formingCalls = r.cancelledMessages[:0], r.formingCalls[:0]
 }
 
-// takeOn logs a message; its client hears of it once that is done.
-func (r *Relay) takeOn(m *message) {
-	q := m.req
-	m.req, m.logged = nil, true
-	m.rec.At = r.clock.Now()
-	r.wal.submit(m.rec, func(err error) {
+// acceptMessage logs a message. Its client gets the reply once the record is written.
+func (r *Relay) acceptMessage(msg *message) {
+	req := msg.req
+	msg.req, msg.logged = nil, true
+	msg.rec.At = r.clock.Now()
+	r.wal.submit(msg.rec, func(err error) {
 		if err != nil {
-			r.in.put(event{unlogged: q})
+			r.inbox.put(event{unlogged: req})
 			return
 		}
-		q.sendReply(resp.OK)
+		req.sendReply(resp.OK)
 	})
 }
 
-// ended carries out a final answer.
-func (r *Relay) ended(a *decide.Action, word string) {
-	m := r.msgs[a.Message]
-	if m == nil || m.over {
+// handleFinalAction ends a message as the policy decided: given up or handed back.
+func (r *Relay) handleFinalAction(action *decide.Action, outcomeName string) {
+	msg := r.messages[action.Message]
+	if msg == nil || msg.ended {
 		return
 	}
-	m.over = true
-	if m.call != nil { // before anybody is told
-		m.call.removeMessage(m)
+	msg.ended = true
+	if msg.call != nil { // before the client or the platform is told
+		msg.call.removeMessage(msg)
 	}
-	ms := (a.After + 999) / 1000
-	if q := m.req; q != nil { // not taken on: the client hears it at once
-		m.req = nil
-		delete(r.waiting, q)
-		if word == noticeHandedBack {
-			q.sendReply(resp.Busy(ms))
+	retryMS := (action.After + 999) / 1000
+	if req := msg.req; req != nil { // not accepted: the client gets the result as its reply
+		msg.req = nil
+		delete(r.unanswered, req)
+		if outcomeName == noticeHandedBack {
+			req.sendReply(resp.Busy(retryMS))
 		} else {
-			q.sendReply(resp.Error(errors.New("given up")))
+			req.sendReply(resp.Error(errors.New("given up")))
 		}
-		r.drop(m)
+		r.dropMessage(msg)
 		return
 	}
-	r.drop(m)
-	if word == noticeHandedBack {
-		r.remember(m, resp.Busy(ms))
+	r.dropMessage(msg)
+	if outcomeName == noticeHandedBack {
+		r.rememberReply(msg, resp.Busy(retryMS))
 	} else {
-		r.remember(m, resp.Error(errors.New("given up")))
+		r.rememberReply(msg, resp.Error(errors.New("given up")))
 	}
-	r.log.Info("ended", "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", word, "tries", m.tries,
-		"left_ms", r.leftMS(m), "found_untried", m.recoveredUntried)
-	if m.recoveredUntried {
-		m.recoveredUntried = false
+	r.log.Info("ended", "message", msg.rec.ID, "class", msg.rec.Class, "dest", msg.rec.Dest,
+		"outcome", outcomeName, "tries", msg.attempts,
+		"left_ms", r.remainingMS(msg), "found_untried", msg.recoveredUntried)
+	if msg.recoveredUntried {
+		msg.recoveredUntried = false
 		r.untried.ended++
 		r.logUntried(false)
 	}
-	if !m.acknowledged {
-		m.ending = &record{Notice: word, RetryMS: ms}
+	if !msg.acknowledged {
+		msg.pendingNotice = &record{Notice: outcomeName, RetryMS: retryMS}
 		return
 	}
-	r.end(m, word, ms)
+	r.reportEnd(msg, outcomeName, retryMS)
 }
 
-// leftMS is what is left of a message's time.
-func (r *Relay) leftMS(m *message) int64 { return clock.Until(r.clock, m.rec.Deadline).Milliseconds() }
+// remainingMS returns the time until a message's deadline, in milliseconds.
+func (r *Relay) remainingMS(msg *message) int64 {
+	return clock.Until(r.clock, msg.rec.Deadline).Milliseconds()
+}
 
-// end logs how a message ended and has the platform told.
-func (r *Relay) end(m *message, word string, ms int64) {
-	if word == noticeGivenUp {
-		ms = 0
+// reportEnd logs how a message ended and queues the notice for the platform.
+func (r *Relay) reportEnd(msg *message, outcomeName string, retryMS int64) {
+	if outcomeName == noticeGivenUp {
+		retryMS = 0
 	}
-	n := notice{m.rec.ID, word, ms, m.rec.Deadline}
+	n := notice{msg.rec.ID, outcomeName, retryMS, msg.rec.Deadline}
 	r.notices.unconfirmed.Add(1)
-	// The notice goes out whether or not it could be logged.
-	r.wal.submit(&record{Kind: recordEnding, ID: m.rec.ID, Notice: word, RetryMS: ms}, func(error) { r.notices.incoming.put(n) })
+	// The notice is sent whether or not the record could be written.
+	r.wal.submit(&record{Kind: recordEnding, ID: msg.rec.ID, Notice: outcomeName, RetryMS: retryMS},
+		func(error) { r.notices.incoming.put(n) })
 }
 
-// act carries out what is no final answer. What is to be sent or called off is
-// gathered: which messages share a call is seen when all are known.
-func (r *Relay) act(now decide.Time, a *decide.Action) {
-	switch a.Kind {
+// performAction carries out an action that does not end its message. Sends and cancellations are only
+// collected: which messages share a call is known once all actions of the step are.
+func (r *Relay) performAction(now decide.Time, action *decide.Action) {
+	switch action.Kind {
 	case decide.ActSend:
-		m := r.msgs[a.Message]
-		if m == nil {
+		msg := r.messages[action.Message]
+		if msg == nil {
 			return
 		}
-		m.tries++
-		m.until, m.cancelling = a.TimeoutAt, false
-		m.pending = r.form(a.Endpoint)
-		m.pending.msgs = append(m.pending.msgs, m)
+		msg.attempts++
+		msg.attemptDeadline, msg.cancelling = action.TimeoutAt, false
+		msg.pendingCall = r.callForSend(action.Endpoint)
+		msg.pendingCall.msgs = append(msg.pendingCall.msgs, msg)
 	case decide.ActCancel:
-		if m := r.msgs[a.Message]; m != nil && a.Attempt == m.tries-1 {
+		if msg := r.messages[action.Message]; msg != nil && action.Attempt == msg.attempts-1 {
 			switch {
-			case m.call != nil:
-				m.cancelling = true
-				r.off = append(r.off, m)
-			case m.pending != nil:
-				r.pull(m)
+			case msg.call != nil:
+				msg.cancelling = true
+				r.cancelledMessages = append(r.cancelledMessages, msg)
+			case msg.pendingCall != nil:
+				r.removeFromPendingCall(msg)
 			}
 		}
 	case decide.ActTimer:
-		r.timers.add(now + a.After)
+		r.timers.add(now + action.After)
 	case decide.ActProbe:
-		if ep := r.endpoint(a.Endpoint); ep != nil && !ep.withdrawn {
-			h, num := ep.conns, a.Endpoint // a is of a buffer that the next step fills again
+		if ep := r.endpoint(action.Endpoint); ep != nil && !ep.withdrawn {
+			conns, num := ep.conns, action.Endpoint // copied: the next step overwrites the action
 			go func() {
-				o := probe(r.ctx, h)
-				r.in.put(event{probed: num, result: &o})
+				result := probe(r.ctx, conns)
+				r.inbox.put(event{probedEndpoint: num, result: &result})
 			}()
 		}
 	case decide.ActCloseIdle:
-		if ep := r.endpoints[a.Endpoint]; ep != nil && ep.conns != nil {
+		if ep := r.endpoints[action.Endpoint]; ep != nil && ep.conns != nil {
 			ep.conns.closeIdle()
 		}
 	case decide.ActOutage:
-		r.logOutage(a.Endpoint)
+		r.logOutage(action.Endpoint)
 	case decide.ActRelease:
-		r.releaseEndpoint(a.Endpoint)
+		r.releaseEndpoint(action.Endpoint)
 	case decide.ActLog:
-		r.log.Info("policy", "says", a.Text)
+		r.log.Info("policy", "says", action.Text)
 	}
 }
 
-// form gives the call of this step that a send to an endpoint joins. What one
-// step sends to one endpoint travels together, as far as its kind allows.
-func (r *Relay) form(num decide.Endpoint) *call {
+// callForSend returns the call of the current step that the next send to an endpoint joins, a new one
+// if need be. Messages sent to one endpoint in one step share a call, up to the batch size of its kind.
+func (r *Relay) callForSend(num decide.Endpoint) *call {
 	ep := r.endpoint(num)
-	for _, c := range r.forming {
+	for _, c := range r.formingCalls {
 		if ep != nil && c.ep == ep && len(c.msgs) < ep.maxBatch {
 			return c
 		}
 	}
 	c := &call{ep: ep}
-	r.forming = append(r.forming, c)
+	r.formingCalls = append(r.formingCalls, c)
 	return c
 }
 
-// notSent tells the policy of an attempt that never left. The loop comes by
-// again for it.
-func (r *Relay) notSent(m *message, c *call, err error) {
-	r.in.put(event{unsent: m, call: c, result: &callResult{outcome: decide.NotSent, err: err}})
+// reportNotSent reports an attempt that was not sent. The event goes through the inbox, so that the
+// policy learns of it in its next step.
+func (r *Relay) reportNotSent(msg *message, c *call, err error) {
+	r.inbox.put(event{unsent: msg, call: c, result: &callResult{outcome: decide.NotSent, err: err}})
 }
 
-// pull takes a message out of a call that has not begun; the others must not
-// wait for it any longer.
-func (r *Relay) pull(m *message) {
-	c := m.pending
-	m.pending = nil
-	c.msgs = slices.DeleteFunc(c.msgs, func(x *message) bool { return x == m })
-	r.notSent(m, c, errCancelled)
-	r.launch(c)
+// removeFromPendingCall takes a message out of a call that has not started. The call's other messages
+// no longer wait for it.
+func (r *Relay) removeFromPendingCall(msg *message) {
+	c := msg.pendingCall
+	msg.pendingCall = nil
+	c.msgs = slices.DeleteFunc(c.msgs, func(x *message) bool { return x == msg })
+	r.reportNotSent(msg, c, errCancelled)
+	r.startCall(c)
 }
 
-// launch logs the attempts of a call and then makes it, once the client of each
-// of its messages has heard.
-func (r *Relay) launch(c *call) {
-	if c.cancel != nil || slices.ContainsFunc(c.msgs, func(m *message) bool { return !m.acknowledged }) {
+// startCall logs the attempts of a call and then makes it. It does nothing before the clients of all
+// its messages have their replies.
+func (r *Relay) startCall(c *call) {
+	if c.cancel != nil || slices.ContainsFunc(c.msgs, func(msg *message) bool { return !msg.acknowledged }) {
 		return
 	}
 	now := r.now()
-	c.msgs = slices.DeleteFunc(c.msgs, func(m *message) bool {
-		if r.tooLateToSend(m) {
+	c.msgs = slices.DeleteFunc(c.msgs, func(msg *message) bool {
+		if r.tooLateToCall(msg) {
 			return true
 		}
-		m.pending = nil
-		if ep := c.ep; ep == nil || ep.withdrawn || ep.waitUntil > now || ep.dest != m.rec.Dest || m.until <= now || m.over ||
-			(callItem{repeatUntil: m.repeatBy()}).repeatExpired(r.instant(now)) {
-			r.notSent(m, c, errNotStarted)
+		msg.pendingCall = nil
+		if ep := c.ep; ep == nil || ep.withdrawn || ep.waitUntil > now ||
+			ep.dest != msg.rec.Dest || msg.attemptDeadline <= now || msg.ended ||
+			(callItem{repeatUntil: msg.repeatUntil()}).repeatExpired(r.instant(now)) {
+			r.reportNotSent(msg, c, errNotStarted)
 			return true
 		}
 		return false
@@ -868,154 +888,162 @@
 	if len(c.msgs) == 0 {
 		return
 	}
-	// The one that is waited for longest leads: an endpoint may go by the first
-	// message, and once that is over it must not answer for the others.
-	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.until, a.until) })
+	// The message with the latest timeout comes first: an endpoint may take the whole call to end with
+	// its first message, and no longer answer for the others.
+	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.attemptDeadline, a.attemptDeadline) })
 	c.ctx, c.cancel = context.WithCancelCause(r.ctx)
 	c.ep.calls[c] = true
-	r.calls++
-	for _, m := range c.msgs {
-		m.call = c
+	r.callsInFlight++
+	for _, msg := range c.msgs {
+		msg.call = c
 		c.unfinished++
-		if m.recoveredUntried {
-			m.recoveredUntried = false
+		if msg.recoveredUntried {
+			msg.recoveredUntried = false
 			r.untried.called++
-			r.log.Info("resumed message called", "message", m.rec.ID, "left_ms", r.leftMS(m))
+			r.log.Info("resumed message called", "message", msg.rec.ID, "left_ms", r.remainingMS(msg))
 			r.logUntried(false)
 		}
 	}
-	h, msgs, loads := c.ep.conns, slices.Clone(c.msgs), r.cfg.loads
-	parts := make([]callItem, 0, len(msgs)) // the log's goroutine alone appends
-	for i, m := range msgs {
-		p := callItem{message: m, rec: m.rec, timeout: time.Duration(m.until-now) * time.Microsecond, repeatUntil: m.repeatBy()}
-		m.sent = r.instant(now)
-		r.wal.submit(&record{Kind: recordAttempt, ID: m.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
+	conns, msgs, loadFields := c.ep.conns, slices.Clone(c.msgs), r.cfg.loadFields
+	items := make([]callItem, 0, len(msgs)) // appended to by the log's goroutine alone
+	for i, msg := range msgs {
+		item := callItem{message: msg, rec: msg.rec, timeout: time.Duration(msg.attemptDeadline-now) * time.Microsecond,
+			repeatUntil: msg.repeatUntil()}
+		msg.lastAttemptAt = r.instant(now)
+		r.wal.submit(&record{Kind: recordAttempt, ID: msg.rec.ID, At: r.instant(now), ZoneName: c.ep.zone}, func(err error) {
 			if err == nil {
-				parts = append(parts, p)
+				items = append(items, item)
 			} else {
-				r.in.put(event{call: c, msg: m, result: &callResult{outcome: decide.NotSent, err: errAttemptNotLogged}})
+				r.inbox.put(event{call: c, msg: msg, result: &callResult{outcome: decide.NotSent, err: errAttemptNotLogged}})
 			}
-			if i < len(msgs)-1 || len(parts) == 0 {
+			if i < len(msgs)-1 || len(items) == 0 {
 				return
 			}
-			go c.run(h, parts, loads, func(m *message, o callResult) {
-				r.in.put(event{call: c, msg: m, result: &o})
+			go c.run(conns, items, loadFields, func(msg *message, result callResult) {
+				r.inbox.put(event{call: c, msg: msg, result: &result})
 			})
 		})
 	}
 }
 
-// callOff stops waiting for a message of a call. The call itself goes on as
-// long as another of its messages wants it.
-func (r *Relay) callOff(c *call, m *message) {
-	unsent := c.removeMessage(m)
-	for _, x := range c.msgs {
-		if x.call == c && !x.cancelling {
-			o := callResult{outcome: decide.Cancelled, err: errCancelled}
-			if unsent { // and it will not be
-				o.outcome = decide.NotSent
+// cancelAttempt cancels the attempt of one message of a call. The call itself goes on while another
+// of its messages is not cancelled.
+func (r *Relay) cancelAttempt(c *call, msg *message) {
+	removedUnsent := c.removeMessage(msg)
+	for _, other := range c.msgs {
+		if other.call == c && !other.cancelling {
+			result := callResult{outcome: decide.Cancelled, err: errCancelled}
+			if removedUnsent { // and it will not be sent any more
+				result.outcome = decide.NotSent
 			}
-			r.in.put(event{call: c, msg: m, result: &o})
+			r.inbox.put(event{call: c, msg: msg, result: &result})
 			return
 		}
 	}
 	c.cancel(errCancelled)
 }
 
-// waits books a told wait, for the endpoint or for all of its destination's.
-// Calls that still wait for a connection there would begin before it is over:
-// after an outage one may take a second to come up. It binds under this id
-// also if the endpoint leaves and comes back.
-func (r *Relay) waits(told *endpoint, until decide.Time) {
-	bind := func(ep *endpoint) {
+// applyWait applies the wait that an endpoint asked for, to that endpoint alone or to all endpoints of
+// its destination. Calls still waiting for a connection there are stopped, since they could begin
+// before the wait is over: after an outage a connection may take a second to be established. The wait
+// is kept under the endpoint's id, also if the endpoint leaves the list and returns.
+func (r *Relay) applyWait(source *endpoint, until decide.Time) {
+	apply := func(ep *endpoint) {
 		ep.waitUntil = max(ep.waitUntil, until)
 		for c := range ep.calls {
 			c.cancelUnsent(errRetryAfter)
 		}
 	}
-	if bind(told); told.separateRoute || told.num >= unlistedEndpointBit { // no list says whose the latter is
+	// No list names the destination of an unlisted endpoint.
+	if apply(source); source.separateRoute || source.num >= unlistedEndpointBit {
 		return
 	}
-	r.view = r.directory.Of(told.dest, r.view[:0])
-	for i := range r.view {
-		if ep := r.endpoint(decide.Endpoint(r.view[i].Number)); ep != told && !ep.separateRoute {
-			bind(ep)
+	r.endpointBuffer = r.directory.Of(source.dest, r.endpointBuffer[:0])
+	for i := range r.endpointBuffer {
+		if ep := r.endpoint(decide.Endpoint(r.endpointBuffer[i].Number)); ep != source && !ep.separateRoute {
+			apply(ep)
 		}
 	}
 }
 
-// returned books what became of a call, or of one of its messages alone.
-func (r *Relay) returned(c *call, only *message, o *callResult) {
-	if o.retryAfter > 0 {
-		r.waits(c.ep, r.now()+o.retryAfter)
+// handleCallResult applies the result of a call, to all its messages or to only one of them.
+func (r *Relay) handleCallResult(c *call, only *message, result *callResult) {
+	if result.retryAfter > 0 {
+		r.applyWait(c.ep, r.now()+result.retryAfter)
 	}
-	if c.ep.conns != nil && c.ep.recordResult(o, r.now()) {
+	if c.ep.conns != nil && c.ep.recordResult(result, r.now()) {
 		c.ep.conns.closeIdle()
 	}
-	for _, m := range c.msgs {
-		if m.call != c || only != nil && only != m {
-			continue // it had its outcome before
+	for _, msg := range c.msgs {
+		if msg.call != c || only != nil && only != msg {
+			continue // it has its outcome already, or is not the one in question
 		}
-		end := *o
-		if x, ok := o.itemResults[m.rec.ID]; ok {
-			end.outcome, end.settled = x.outcome, x.settled
+		messageResult := *result
+		if itemResult, ok := result.itemResults[msg.rec.ID]; ok {
+			messageResult.outcome, messageResult.settled = itemResult.outcome, itemResult.settled
 		}
-		r.finished(m, c, &end)
+		r.handleAttemptEnd(msg, c, &messageResult)
 	}
 	if only != nil && c.unfinished == 0 {
-		c.cancel(errCancelled) // nobody waits for it any more
+		c.cancel(errCancelled) // no message waits for the call any more
 	}
 }
 
-// finished books the end of a message's attempt.
-func (r *Relay) finished(m *message, c *call, o *callResult) {
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: m.tries - 1, Outcome: o.outcome, RetryAfter: o.retryAfter,
-		NoFreeSlot: o.slotsTaken, NoFreeConnection: o.tooManyConns, Final: o.settled || m.over, Duration: o.elapsed, Load: o.load}
+// handleAttemptEnd applies the outcome of a message's attempt and reports it to the policy.
+func (r *Relay) handleAttemptEnd(msg *message, c *call, result *callResult) {
+	policyEvent := decide.Event{Kind: decide.EvOutcome, Message: msg.num, Attempt: msg.attempts - 1,
+		Outcome: result.outcome, RetryAfter: result.retryAfter,
+		NoFreeSlot: result.slotsTaken, NoFreeConnection: result.tooManyConns, Final: result.settled || msg.ended,
+		Duration: result.elapsed, Load: result.load}
 	if c.ep != nil {
-		e.Endpoint = c.ep.num
+		policyEvent.Endpoint = c.ep.num
 	}
-	logged := m.call == c
-	if logged {
-		m.call = nil
+	started := msg.call == c
+	if started {
+		msg.call = nil
 		switch {
-		case !m.doubt.IsZero():
-		case o.outcome.NeverRan(): // so what is not known of an earlier attempt's time does not matter
-			m.windowUnknown = false
+		case !msg.inDoubtSince.IsZero():
+		case result.outcome.NeverRan(): // no attempt so far may have run, so no time is unknown
+			msg.dedupWindowUnknown = false
 		default:
-			m.doubt = m.sent
+			msg.inDoubtSince = msg.lastAttemptAt
 		}
 		if c.unfinished--; c.unfinished == 0 {
-			r.calls--
+			r.callsInFlight--
 			delete(c.ep.calls, c)
 		}
 	}
 	if r.handedOver {
-		r.forwardOutcome(m, o)
+		r.forwardOutcome(msg, result)
 		return
 	}
-	r.events = append(r.events, e)
-	if o.outcome == decide.Delivered {
-		r.log.Debug("delivered", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.leadID(), "took_ms", o.elapsed/1000, "left_ms", r.leftMS(m))
+	r.policyEvents = append(r.policyEvents, policyEvent)
+	if result.outcome == decide.Delivered {
+		r.log.Debug("delivered", "message", msg.rec.ID, "dest", msg.rec.Dest, "class", msg.rec.Class,
+			"endpoint", policyEvent.Endpoint,
+			"attempt", policyEvent.Attempt, "together", len(c.msgs), "lead", c.leadID(),
+			"took_ms", result.elapsed/1000, "left_ms", r.remainingMS(msg))
 	} else {
-		r.log.Info("attempt", "message", m.rec.ID, "dest", m.rec.Dest, "class", m.rec.Class, "endpoint", e.Endpoint,
-			"attempt", e.Attempt, "together", len(c.msgs), "lead", c.leadID(), "outcome", int(o.outcome), "status", o.status, "took_ms", o.elapsed/1000,
-			"conn_reused", o.priorCalls, "conn_idle_ms", o.connIdle.Milliseconds(),
-			"err", o.err)
+		r.log.Info("attempt", "message", msg.rec.ID, "dest", msg.rec.Dest, "class", msg.rec.Class,
+			"endpoint", policyEvent.Endpoint,
+			"attempt", policyEvent.Attempt, "together", len(c.msgs), "lead", c.leadID(), "outcome", int(result.outcome),
+			"status", result.status, "took_ms", result.elapsed/1000,
+			"conn_reused", result.priorCalls, "conn_idle_ms", result.connIdle.Milliseconds(),
+			"err", result.err)
 	}
 	switch {
-	case o.settled:
-		r.wal.submit(&record{Kind: recordEnd, ID: m.rec.ID, MayHaveRun: true}, nil)
-	case logged:
-		r.wal.submit(&record{Kind: recordOutcome, ID: m.rec.ID, MayHaveRun: !o.outcome.NeverRan()}, nil)
-	}
-	if o.settled && !m.over {
-		m.over = true
-		r.drop(m)
-		r.remember(m, resp.OK)
+	case result.settled:
+		r.wal.submit(&record{Kind: recordEnd, ID: msg.rec.ID, MayHaveRun: true}, nil)
+	case started:
+		r.wal.submit(&record{Kind: recordOutcome, ID: msg.rec.ID, MayHaveRun: !result.outcome.NeverRan()}, nil)
+	}
+	if result.settled && !msg.ended {
+		msg.ended = true
+		r.dropMessage(msg)
+		r.rememberReply(msg, resp.OK)
 		return
 	}
-	if m.over {
-		delete(r.msgs, m.num)
+	if msg.ended {
+		delete(r.messages, msg.num)
 	}
 }
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -59,13 +59,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listReceiver{Stage: stage, clock: r.clock, enqueue: r.in.put, drainQueued: &r.drains}, nil
+	return &listReceiver{Stage: stage, clock: r.clock, enqueue: r.inbox.put, drainQueued: &r.drainPending}, nil
 }
 
 func (l *listReceiver) Entry(e *membership.Entry, bind bool) error {
 	drains, err := l.Stage.Entry(e, bind)
 	if drains && l.drainQueued.CompareAndSwap(false, true) {
-		l.enqueue(event{drains: true})
+		l.enqueue(event{drainAnnounced: true})
 	}
 	if l.entries++; l.entries%entriesPerYield != 0 {
 		return err
@@ -83,9 +83,9 @@
 
 // Endpoints lists the endpoints of a destination for the policy.
 func (r *Relay) Endpoints(dest int, into []decide.Entry) []decide.Entry {
-	r.view = r.directory.Of(dest, r.view[:0])
-	for i := range r.view {
-		into = append(into, r.policyEntry(&r.view[i]))
+	r.endpointBuffer = r.directory.Of(dest, r.endpointBuffer[:0])
+	for i := range r.endpointBuffer {
+		into = append(into, r.policyEntry(&r.endpointBuffer[i]))
 	}
 	return into
 }
@@ -108,7 +108,7 @@
 
 // startListUpdate begins to apply a list. A short list is applied completely.
 func (r *Relay) startListUpdate(u *membership.Update) {
-	r.applying = u
+	r.pendingUpdate = u
 	r.applyNextChanges()
 }
 
@@ -116,24 +116,24 @@
 // list.
 func (r *Relay) applyNextChanges() {
 	var done bool
-	if r.changes, done = r.applying.Apply(changesPerStep, r.changes[:0]); done {
-		r.applying = nil
+	if r.changeBuffer, done = r.pendingUpdate.Apply(changesPerStep, r.changeBuffer[:0]); done {
+		r.pendingUpdate = nil
 	}
 	r.publishChanges()
 }
 
 // applyAllChanges applies the rest of the list at once, for when the loop has no other events to handle.
 func (r *Relay) applyAllChanges() {
-	for r.applying != nil {
+	for r.pendingUpdate != nil {
 		r.applyNextChanges()
 	}
 }
 
 // applyDrains applies the drains in a list that is still being received.
 func (r *Relay) applyDrains() {
-	r.drains.Store(false)
+	r.drainPending.Store(false)
 	for done := false; !done; {
-		r.changes, done = r.directory.Drained(changesPerStep, r.changes[:0])
+		r.changeBuffer, done = r.directory.Drained(changesPerStep, r.changeBuffer[:0])
 		r.publishChanges()
 	}
 }
@@ -142,8 +142,8 @@
 // endpoint objects their own.
 func (r *Relay) publishChanges() {
 	e := decide.Event{Kind: decide.EvList, List: decide.ListDelta}
-	for i := range r.changes {
-		change := &r.changes[i]
+	for i := range r.changeBuffer {
+		change := &r.changeBuffer[i]
 		if ep := r.endpoints[decide.Endpoint(change.Now.Number)]; ep != nil {
 			r.applyListing(ep, &change.Now)
 		}
@@ -152,12 +152,12 @@
 		}
 	}
 	if len(e.Entries) > 0 {
-		r.events = append(r.events, e)
+		r.policyEvents = append(r.policyEvents, e)
 	}
-	if len(r.outages) > 0 {
-		ids := make([]string, 0, len(r.changes))
-		for i := range r.changes {
-			id, _ := r.directory.Text(r.changes[i].Now.Number)
+	if len(r.unlistedOutages) > 0 {
+		ids := make([]string, 0, len(r.changeBuffer))
+		for i := range r.changeBuffer {
+			id, _ := r.directory.Text(r.changeBuffer[i].Now.Number)
 			ids = append(ids, id)
 		}
 		r.restoreOutages(ids)
@@ -239,7 +239,7 @@
 func (r *Relay) queueForget(ep *endpoint) {
 	if !ep.forgetQueued {
 		ep.forgetQueued = true
-		r.leaving = append(r.leaving, ep)
+		r.forgetCandidates = append(r.forgetCandidates, ep)
 	}
 }
 
@@ -248,14 +248,14 @@
 // used once, would accumulate in memory.
 func (r *Relay) forgetEndpoints() {
 	now := r.now()
-	for range min(forgetChecksPerChange, len(r.leaving)) {
-		ep := r.leaving[0]
-		r.leaving = r.leaving[1:]
+	for range min(forgetChecksPerChange, len(r.forgetCandidates)) {
+		ep := r.forgetCandidates[0]
+		r.forgetCandidates = r.forgetCandidates[1:]
 		switch {
 		case !ep.withdrawn && !ep.released: // it is in use again
 			ep.forgetQueued = false
-		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.withdrawnAt+forgetGone:
-			r.leaving = append(r.leaving, ep)
+		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.withdrawnAt+goneEndpointRetention:
+			r.forgetCandidates = append(r.forgetCandidates, ep)
 		default:
 			if ep.forgetQueued = false; ep.conns != nil {
 				ep.conns.closeIdle()
--- a/internal/relay/ops.go
+++ b/internal/relay/ops.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		backoff.accepted()
-		conn.SetDeadline(clock.Deadline(operatorCallTimeout))
+		conn.SetDeadline(clock.DeadlineIn(operatorCallTimeout))
 		o.mu.Lock()
 		if o.conns = append(o.conns, conn); len(o.conns) > maxOperatorConns {
 			o.conns[0].Close() // its goroutine gets a read error and ends
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -37,17 +37,17 @@
 // resumeOutages restores the outages found in the log: at once for endpoints that are listed, and for the others when
 // a list names them.
 func (r *Relay) resumeOutages(found []*record) {
-	r.outages = map[string]decide.OutageSnapshot{}
+	r.unlistedOutages = map[string]decide.OutageSnapshot{}
 	ids := make([]string, 0, len(found))
 	for _, rec := range found {
-		r.outages[rec.ID] = convertOutageTimes(*rec.Outage, func(t decide.Time) decide.Time {
+		r.unlistedOutages[rec.ID] = convertOutageTimes(*rec.Outage, func(t decide.Time) decide.Time {
 			return r.policyTime(clock.Instant(t))
 		})
 		ids = append(ids, rec.ID)
 	}
 	r.restoreOutages(ids)
 	if len(found) > 0 {
-		r.log.Info("resumed outages", "found", len(found), "not_listed", len(r.outages))
+		r.log.Info("resumed outages", "found", len(found), "not_listed", len(r.unlistedOutages))
 	}
 }
 
@@ -55,17 +55,17 @@
 func (r *Relay) restoreOutages(ids []string) {
 	memory := &decide.Snapshot{}
 	for _, id := range ids {
-		outage, found := r.outages[id]
+		outage, found := r.unlistedOutages[id]
 		ep, listed := r.directory.Find(id)
 		if !found || !listed || ep.Phase != membership.Up {
 			continue
 		}
-		delete(r.outages, id)
+		delete(r.unlistedOutages, id)
 		outage.Endpoint, outage.Dest = decide.Endpoint(ep.Number), ep.Dest
 		r.endpoint(outage.Endpoint) // creates the object now, so that logOutage finds its id after a removal
 		memory.Outages = append(memory.Outages, outage)
 	}
 	if len(memory.Outages) > 0 {
-		r.events = append(r.events, decide.Event{Kind: decide.EvSnapshot, Snapshot: memory})
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: memory})
 	}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -280,7 +280,7 @@
 	if _, err := writeAll(c.Conn, text[:last]); err != nil {
 		return err
 	}
-	c.SetReadDeadline(clock.Deadline(c.host.pool.lastByteDelay))
+	c.SetReadDeadline(clock.DeadlineIn(c.host.pool.lastByteDelay))
 	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return cmp.Or(err, errUnexpectedData)
 	}
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -26,7 +26,7 @@
 )
 
 // modelStart is the clock reading at the start of each history.
-var modelStart = clock.Reading{Boot: "model", Now: 1e12, Wall: 1.7e15}
+var modelStart = clock.Reading{BootID: "model", Now: 1e12, Wall: 1.7e15}
 
 // modelChecks is the number of histories in a run without -rapid.checks: they take a few seconds.
 const modelChecks = "500"
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -226,11 +226,11 @@
 		if w.pending["a"] == nil && !strings.Contains(string(b), recordMarker) {
 			t.Fatal("the valid record is lost")
 		}
-		now := clock.Reading{Boot: "present", Now: 5e6, Wall: 1.7e15}
+		now := clock.Reading{BootID: "present", Now: 5e6, Wall: 1.7e15}
 		w.convertToOwnClock(now, "log")
 		for id, l := range w.pending {
 			if rules := l.rec.Rules; rules != nil && rules.Deadline > 0 && rules.Deadline < 1e12 &&
-				w.replayClock.reading.Boot != now.Boot && l.rec.Deadline > now.Now+clock.Instant(maxDeadlineFactor*rules.Deadline) {
+				w.replayClock.reading.BootID != now.BootID && l.rec.Deadline > now.Now+clock.Instant(maxDeadlineFactor*rules.Deadline) {
 				t.Errorf("%q: deadline %d is later than its class allows", id, l.rec.Deadline)
 			}
 		}
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -69,9 +69,9 @@
 		return
 	}
 	conversion := w.replayClock.convert(now)
-	if !conversion.Certain {
+	if !conversion.SameClock {
 		w.log.Warn("log: written with another clock, the elapsed time is an estimate", "log", path,
-			"boot", w.replayClock.reading.Boot, "now", now.Boot, "unix", w.replayClock.unixTimes,
+			"boot", w.replayClock.reading.BootID, "now", now.BootID, "unix", w.replayClock.unixTimes,
 			"messages", len(w.pending))
 	}
 	w.convertRecords(conversion, now)
@@ -79,7 +79,7 @@
 
 // convertRecords converts the instants in all records that are kept.
 func (w *wal) convertRecords(conversion clock.Conversion, now clock.Reading) {
-	if conversion.Certain {
+	if conversion.SameClock {
 		return
 	}
 	for _, live := range w.pending {
@@ -90,7 +90,7 @@
 	}
 	for _, live := range w.outagesByEndpoint {
 		moved := convertOutageTimes(*live.rec.Outage, func(t decide.Time) decide.Time {
-			return decide.Time(conversion.Instant(clock.Instant(t)))
+			return decide.Time(conversion.Estimate(clock.Instant(t)))
 		})
 		live.rec.Outage = &moved
 	}
@@ -98,8 +98,8 @@
 
 // convert converts the instants of a message to another clock, by an estimate of the elapsed time.
 func (r *record) convert(conversion clock.Conversion, now clock.Instant) {
-	r.Deadline, r.At = conversion.Instant(r.Deadline), conversion.Instant(r.At)
-	r.InDoubtSince, r.InFlightSince = conversion.Instant(r.InDoubtSince), conversion.Instant(r.InFlightSince)
+	r.Deadline, r.At = conversion.Estimate(r.Deadline), conversion.Estimate(r.At)
+	r.InDoubtSince, r.InFlightSince = conversion.Estimate(r.InDoubtSince), conversion.Estimate(r.InFlightSince)
 	r.DedupWindowUnknown = r.DedupWindowUnknown || r.InDoubtSince != 0 || r.InFlightSince != 0
 	if r.Rules != nil { // no message is accepted with a later deadline
 		r.Deadline = min(r.Deadline, now+clock.Instant(maxDeadlineFactor*r.Rules.Deadline))
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -61,7 +61,7 @@
 }
 
 func testReading() clock.Reading {
-	return clock.Reading{Boot: "boot", Now: clock.Instant(3600e6), Wall: fixtureWallTime}
+	return clock.Reading{BootID: "boot", Now: clock.Instant(3600e6), Wall: fixtureWallTime}
 }
 
 // logSampleMessages logs a message without attempts, one with an attempt that may have run, an ended one and an outage.
@@ -129,7 +129,7 @@
 			dir, clk := t.TempDir(), clock.NewManual(testReading())
 			w, _, _ := openWALWithClock(t, dir, clk)
 			logSampleMessages(t, w, clk)
-			next := clock.NewManual(clock.Reading{Boot: test.boot, Now: test.now,
+			next := clock.NewManual(clock.Reading{BootID: test.boot, Now: test.now,
 				Wall: fixtureWallTime + clock.UnixMicro(test.passed.Microseconds())})
 			for range 2 { // the second start reads the log that the first one converted
 				w, pending, lines := openWALWithClock(t, dir, next)
@@ -177,9 +177,9 @@
 		"torn":    {valid[:len(valid)/2], "damaged record skipped"},
 		"flipped": {flipped, "damaged record skipped"},
 		"empty":   {encoded(&record{Kind: recordClock, ID: clockRecordID}), "implausible clock record"},
-		"absurd": {encoded(newClockRecord(clock.Reading{Boot: "boot", Now: -5, Wall: fixtureWallTime})),
+		"absurd": {encoded(newClockRecord(clock.Reading{BootID: "boot", Now: -5, Wall: fixtureWallTime})),
 			"implausible clock record"},
-		"unknown": {encoded(newClockRecord(clock.Reading{Boot: "other", Now: clk.Now(), Wall: fixtureWallTime})),
+		"unknown": {encoded(newClockRecord(clock.Reading{BootID: "other", Now: clk.Now(), Wall: fixtureWallTime})),
 			"another clock"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +202,7 @@
 
 // The instants of records after a second clock record belong to that one's clock.
 func TestClockRecordAppliesToLaterRecords(t *testing.T) {
-	first, second := testReading(), clock.Reading{Boot: "next", Now: 50e6, Wall: fixtureWallTime + 10e6}
+	first, second := testReading(), clock.Reading{BootID: "next", Now: 50e6, Wall: fixtureWallTime + 10e6}
 	var text []byte
 	for _, r := range []*record{
 		newClockRecord(first), {Kind: recordAccepted, ID: "a", Class: "plain", Deadline: first.Now.Add(20 * time.Second),
@@ -250,7 +250,7 @@
 		}
 	}
 	clk.Advance(time.Second) // after a reboot the step of an hour does not count as elapsed time
-	next := clock.NewManual(clock.Reading{Boot: "next", Now: 5e6, Wall: clk.Wall()})
+	next := clock.NewManual(clock.Reading{BootID: "next", Now: 5e6, Wall: clk.Wall()})
 	_, pending, _ := openWALWithClock(t, dir, next)
 	if left := clock.Until(next, pending["a"].Deadline); left != 56*time.Second {
 		t.Errorf("got %v until the deadline, want 56s", left)
@@ -275,7 +275,7 @@
 			if err := os.WriteFile(filepath.Join(dir, walFileName), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			clk := clock.NewManual(clock.Reading{Boot: "boot", Now: 600e6,
+			clk := clock.NewManual(clock.Reading{BootID: "boot", Now: 600e6,
 				Wall: fixtureWallTime + clock.UnixMicro(test.passed.Microseconds())})
 			for range 2 {
 				w, pending, _ := openWALWithClock(t, dir, clk)
@@ -310,16 +310,16 @@
 		rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Dest: 7, Rules: &rules, MaxAttempts: 8,
 			Deadline: now.Add(testLimit),
 			At:       now, Attempts: 1, InDoubtSince: now, DedupWindowUnknown: unknown}
-		r.restore([]*record{rec}, nil)
-		m, e := r.ids["m"], r.events[len(r.events)-1]
+		r.restoreMessages([]*record{rec}, nil)
+		m, e := r.messagesByID["m"], r.policyEvents[len(r.policyEvents)-1]
 		if open := r.now()-e.MayHaveRunAt < rules.DedupWindow; open != want {
 			t.Errorf("window unknown %v: the policy has it open: %v", unknown, open)
 		}
-		if late := (callItem{repeatUntil: m.repeatBy()}).repeatExpired(now); late == want {
+		if late := (callItem{repeatUntil: m.repeatUntil()}).repeatExpired(now); late == want {
 			t.Errorf("window unknown %v: a call has it closed: %v", unknown, late)
 		}
-		m.over = true
-		r.drop(m)
+		m.ended = true
+		r.dropMessage(m)
 	}
 }
 
@@ -328,12 +328,12 @@
 func TestHelloOfEarlierRelease(t *testing.T) {
 	r := testRelay(t)
 	const predecessorNow = decide.Time(3600e6 + 77e6)
-	r.joinPolicyClock(&handHello{Now: predecessorNow})
+	r.adoptPolicyClock(&handoverHello{PolicyNow: predecessorNow})
 	if r.now() != predecessorNow || r.policyTime(r.instant(predecessorNow+5)) != predecessorNow+5 {
 		t.Errorf("policy time is %d, want %d", r.now(), predecessorNow)
 	}
 	reading := clock.Read(r.clock)
-	r.joinPolicyClock(&handHello{Now: 5e9, Clock: reading}) // this release: the delay of the hello does not count
+	r.adoptPolicyClock(&handoverHello{PolicyNow: 5e9, Clock: reading}) // this release: the delay of the hello does not count
 	r.clock.(*clock.Manual).Advance(time.Second)
 	if r.now() != 5e9+1e6 {
 		t.Errorf("policy time is %d after a second", r.now())
