--- a/internal/membership/collect.go
+++ b/internal/membership/collect.go
@@ -1,10 +1,10 @@
 package membership
 
-// Collector is a Receiver that puts a list together as it is read and hands it on at
-// its end. It is for those whose lists are short.
+// Collector is a Receiver that collects the members of a list in memory and passes the list to OnList at its end. It is
+// meant for short lists.
 type Collector struct {
 	List
-	News func(*List)
+	OnList func(*List)
 }
 
 // Entry implements Receiver.
@@ -17,7 +17,7 @@
 // End implements Receiver.
 func (c *Collector) End(revision int64, complete bool) {
 	c.Revision, c.Complete = revision, complete
-	c.News(&c.List)
+	c.OnList(&c.List)
 }
 
 // Abort implements Receiver.
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -10,433 +10,438 @@
 	"unsafe"
 )
 
-// Number names an endpoint of a directory: its slot and how often that was
-// given anew. It is never 0, and no later endpoint has it.
+// Number identifies an endpoint of a directory. It holds the endpoint's slot plus one and, above it, the generation of
+// the slot, which counts its reuses in 16 bits. It is never 0, and later endpoints in the same slot have other numbers.
 type Number uint64
 
-// Endpoint is what a directory tells of an endpoint.
+// Endpoint is the description of an endpoint in a directory.
 type Endpoint struct {
-	Number Number
-	Dest   int
-	Phase  Phase
-	Rate   float64
-	Place  int // its locality and flavor, see Directory.Place
+	Number       Number
+	Dest         int
+	Phase        Phase
+	Rate         float64
+	AttributesID int // locality and flavor, see Directory.Attributes
 }
 
-// Place is where an endpoint stands and of what kind it is, by the list's names.
-type Place struct{ Locality, Flavor string }
+// Attributes are the locality and the flavor of an endpoint, by the names that the list uses.
+type Attributes struct{ Locality, Flavor string }
 
-// record is an endpoint in 36 bytes without a pointer.
+// record stores an endpoint in 36 bytes without pointers. A field that is too small for its value holds the index of
+// that value in a table of the directory.
 type record struct {
-	id    [idInline]byte // itself, or its number in the table of long ones
+	id    [maxInlineID]byte // the id itself, or its index in longIDs
 	idLen uint8
 	flags uint8
 	port  uint16
-	ip    [4]byte // or the number in the table of addresses
+	ip    [4]byte // IPv4 address, or the index of the address in addrs
 	dest  uint32
-	next  uint32 // the next slot of the destination, in a ring; of a free or staged one, the next of those, plus one
-	rate  uint32
-	place uint16
-	gen   uint16
+	// nextSlot links the records of a destination in a ring. In a free or staged record it links the free list or the
+	// list of staged records, and is the slot plus one.
+	nextSlot     uint32
+	rate         uint32 // see packRate
+	attributesID uint16 // index in attributes
+	generation   uint16
 }
 
 const (
-	idInline = 12
-	idLong   = 255 // idLen: the id is in the table
-
-	phaseMask    = 3      // flags: the Phase; NoPhase where the record is free
-	flagStaged   = 1 << 2 // not in force: a new endpoint or an update of one
-	flagUpdate   = 1 << 3 // staged for an endpoint that has another record
-	flagUpdating = 1 << 4 // has such a one
-	flagHeld     = 1 << 5 // stays known though it is removed
-	flagTable    = 1 << 6 // its address is in the table
-	flagLinked   = 1 << 7 // in its destination's ring
-
-	pageSize   = 4096 // records
-	recordSize = int64(unsafe.Sizeof(record{}))
-	placesMost = math.MaxUint16
-	slotsMost  = slotMask
+	maxInlineID = 12  // bytes
+	idInTable   = 255 // value of idLen if the id is in longIDs
+
+	phaseMask       = 3      // bits of flags that hold the Phase; NoPhase if the record is free
+	flagStaged      = 1 << 2 // the record is not in force yet: a new endpoint or an update to one
+	flagUpdate      = 1 << 3 // the record is a staged update to an endpoint that has a record in force
+	flagHasUpdate   = 1 << 4 // an update to this record is staged
+	flagHeld        = 1 << 5 // the record is kept even if the endpoint is removed
+	flagAddrInTable = 1 << 6 // the address is in addrs
+	flagInRing      = 1 << 7 // the record is in the ring of its destination
+
+	pageRecords     = 4096 // records in a page
+	recordBytes     = int64(unsafe.Sizeof(record{}))
+	maxAttributesID = math.MaxUint16
+	maxSlots        = slotMask
 )
 
-// Directory is the list as a relay knows it. One goroutine stages changes and
-// another puts them in force and looks things up, each under the lock for a
-// moment only. A destination that was named once stays known.
+// Directory holds the list that a relay has received. One goroutine stages a list while another puts a list in force
+// and looks endpoints up; each holds the lock only briefly. A destination that a list has named stays known.
 type Directory struct {
-	mu    sync.Mutex
-	limit int64 // bytes; 0 for none
-
-	pages  [][]record
-	slots  uint32 // handed out so far
-	free   uint32 // the first free one, plus one
-	ids    index
-	dests  index // the last endpoint of each, whose next is the first
-	seed   maphash.Seed
-	salt   uint64
-	long   table[string]
-	addrs  table[string]
-	rates  table[uint64]
-	places table[Place]
-	texts  int64             // bytes in the tables, about
-	bare   map[uint32]uint64 // destinations that were named and have no endpoint: 64 in a word
-
-	endpoints    int  // in force
-	destinations int  // with an endpoint in force
-	named        bool // a list is in force, or Name was used
-	changing     bool // one is being put in force
-	revision     int64
-
-	drained []uint32 // slots that a list being read says to drain or removes
-	busy    chan struct{}
-}
-
-// ErrFull is that a list does not fit into the memory that there is for it.
+	mu       sync.Mutex
+	maxBytes int64 // memory limit; 0 for none
+
+	pages      [][]record
+	slotCount  uint32 // slots in use or in the free list
+	freeList   uint32 // the first free slot, plus one; 0 if there is none
+	idIndex    index
+	destIndex  index // the last slot in the ring of each destination; its nextSlot is the first
+	idSeed     maphash.Seed
+	destSalt   uint64
+	longIDs    table[string]
+	addrs      table[string]
+	rates      table[uint64]
+	attributes table[Attributes]
+	tableBytes int64             // approximate size of the tables
+	emptyDests map[uint32]uint64 // bitmap of the known destinations without endpoints: 64 in a word
+
+	endpoints       int  // endpoints in force
+	destinations    int  // destinations with an endpoint in force
+	hasDestinations bool // a list with endpoints has been in force, or AddDestination was called
+	applying        bool // a list is being put in force
+	revision        int64
+
+	drainedSlots []uint32      // slots that a list marked as draining or removed while it was read
+	listLock     chan struct{} // holds a value while a list is staged or put in force
+}
+
+// ErrFull means that a list does not fit into the memory limit of the directory.
 var ErrFull = errors.New("the list is longer than limits.memory_mb has room for")
 
-// NewDirectory makes an empty directory that takes up to limit bytes; 0 for no limit.
+// NewDirectory creates an empty directory that uses at most limit bytes; 0 means no limit.
 func NewDirectory(limit int64) *Directory {
-	d := &Directory{limit: limit, seed: maphash.MakeSeed(), salt: rand.Uint64(), bare: map[uint32]uint64{},
-		busy: make(chan struct{}, 1)}
+	d := &Directory{maxBytes: limit, idSeed: maphash.MakeSeed(), destSalt: rand.Uint64(),
+		emptyDests: map[uint32]uint64{}, listLock: make(chan struct{}, 1)}
 	return d
 }
 
-// SetLimit changes the bytes that it may take.
+// SetLimit changes the memory limit in bytes.
 func (d *Directory) SetLimit(limit int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit = limit
+	d.maxBytes = limit
 }
 
-func (d *Directory) at(slot uint32) *record { return &d.pages[slot/pageSize][slot%pageSize] }
+func (d *Directory) record(slot uint32) *record { return &d.pages[slot/pageRecords][slot%pageRecords] }
 
-func (d *Directory) number(slot uint32) Number {
-	return Number(d.at(slot).gen)<<32 | Number(slot+1)
+func (d *Directory) numberOf(slot uint32) Number {
+	return Number(d.record(slot).generation)<<32 | Number(slot+1)
 }
 
-// slot gives the record of a number; false where it has been given to another since.
-func (d *Directory) slot(n Number) (uint32, bool) {
+// lookup returns the slot of an endpoint. It returns false if the slot is free or has been reused for another one.
+func (d *Directory) lookup(n Number) (uint32, bool) {
 	slot := uint32(n) - 1
-	ok := uint32(n) > 0 && slot < d.slots && d.at(slot).gen == uint16(n>>32) && d.at(slot).flags&phaseMask != 0
+	ok := uint32(n) > 0 && slot < d.slotCount && d.record(slot).generation == uint16(n>>32) &&
+		d.record(slot).flags&phaseMask != 0
 	return slot, ok
 }
 
-func (d *Directory) idHash(id []byte) uint64 { return maphash.Bytes(d.seed, id) }
+func (d *Directory) idHash(id []byte) uint64 { return maphash.Bytes(d.idSeed, id) }
 
 func (d *Directory) idOf(r *record) []byte {
-	if r.idLen == idLong {
-		return []byte(d.long.vals[binary.LittleEndian.Uint32(r.id[:])])
+	if r.idLen == idInTable {
+		return []byte(d.longIDs.values[binary.LittleEndian.Uint32(r.id[:])])
 	}
 	return r.id[:r.idLen]
 }
 
-func (d *Directory) slotHash(slot uint32) uint64     { return d.idHash(d.idOf(d.at(slot))) }
-func (d *Directory) destHash(dest uint32) uint64     { return mix(uint64(dest) ^ d.salt) }
-func (d *Directory) slotDestHash(slot uint32) uint64 { return d.destHash(d.at(slot).dest) }
+func (d *Directory) slotIDHash(slot uint32) uint64   { return d.idHash(d.idOf(d.record(slot))) }
+func (d *Directory) destHash(dest uint32) uint64     { return mixHash(uint64(dest) ^ d.destSalt) }
+func (d *Directory) slotDestHash(slot uint32) uint64 { return d.destHash(d.record(slot).dest) }
 
-// find gives the record under an id that is no update.
-func (d *Directory) find(id []byte) (uint32, bool) {
-	if len(id) > idInline {
-		i, ok := d.long.find(string(id))
+// findID returns the slot of an id, ignoring staged updates.
+func (d *Directory) findID(id []byte) (uint32, bool) {
+	if len(id) > maxInlineID {
+		index, ok := d.longIDs.find(string(id))
 		if !ok {
 			return 0, false
 		}
-		return d.ids.find(d.idHash(id), func(slot uint32) bool {
-			r := d.at(slot)
-			return r.idLen == idLong && binary.LittleEndian.Uint32(r.id[:]) == i
+		return d.idIndex.find(d.idHash(id), func(slot uint32) bool {
+			r := d.record(slot)
+			return r.idLen == idInTable && binary.LittleEndian.Uint32(r.id[:]) == index
 		})
 	}
-	return d.ids.find(d.idHash(id), func(slot uint32) bool {
-		r := d.at(slot)
+	return d.idIndex.find(d.idHash(id), func(slot uint32) bool {
+		r := d.record(slot)
 		return int(r.idLen) == len(id) && string(r.id[:len(id)]) == string(id)
 	})
 }
 
-// ring gives the last endpoint of a destination.
-func (d *Directory) ring(dest uint32) (uint32, bool) {
-	return d.dests.find(d.destHash(dest), func(slot uint32) bool { return d.at(slot).dest == dest })
+// lastInRing returns the last slot in the ring of a destination.
+func (d *Directory) lastInRing(dest uint32) (uint32, bool) {
+	return d.destIndex.find(d.destHash(dest), func(slot uint32) bool { return d.record(slot).dest == dest })
 }
 
-// alloc gives a record that is free.
-func (d *Directory) alloc() (uint32, error) {
-	if d.free != 0 {
-		slot := d.free - 1
-		d.free = d.at(slot).next
+// allocate returns a free slot.
+func (d *Directory) allocate() (uint32, error) {
+	if d.freeList != 0 {
+		slot := d.freeList - 1
+		d.freeList = d.record(slot).nextSlot
 		return slot, nil
 	}
-	if d.slots == slotsMost {
+	if d.slotCount == maxSlots {
 		return 0, ErrFull
 	}
-	if int(d.slots) == len(d.pages)*pageSize {
-		if d.limit > 0 && d.size()+pageSize*recordSize > d.limit {
+	if int(d.slotCount) == len(d.pages)*pageRecords {
+		if d.maxBytes > 0 && d.memoryBytes()+pageRecords*recordBytes > d.maxBytes {
 			return 0, ErrFull
 		}
-		d.pages = append(d.pages, make([]record, pageSize))
+		d.pages = append(d.pages, make([]record, pageRecords))
 	}
-	d.slots++
-	return d.slots - 1, nil
+	d.slotCount++
+	return d.slotCount - 1, nil
 }
 
-// release gives a record back, with what it uses of the tables.
-func (d *Directory) release(slot uint32) {
-	r := d.at(slot)
-	d.dropContent(r)
-	if r.idLen == idLong {
-		i := binary.LittleEndian.Uint32(r.id[:])
-		d.texts -= textCost(d.long.vals[i])
-		d.long.drop(i)
+// free releases the table entries of a record and adds its slot to the free list.
+func (d *Directory) free(slot uint32) {
+	r := d.record(slot)
+	d.releaseContent(r)
+	if r.idLen == idInTable {
+		index := binary.LittleEndian.Uint32(r.id[:])
+		d.tableBytes -= tableTextBytes(d.longIDs.values[index])
+		d.longIDs.release(index)
 	}
-	*r = record{gen: r.gen + 1, next: d.free}
-	d.free = slot + 1
+	*r = record{generation: r.generation + 1, nextSlot: d.freeList}
+	d.freeList = slot + 1
 }
 
-// dropContent gives up what a record uses of the tables for what the list says of it.
-func (d *Directory) dropContent(r *record) {
-	if r.flags&flagTable != 0 {
-		i := binary.LittleEndian.Uint32(r.ip[:])
-		d.texts -= textCost(d.addrs.vals[i])
-		d.addrs.drop(i)
-		r.flags &^= flagTable
+// releaseContent releases the table entries of a record, except that of its id.
+func (d *Directory) releaseContent(r *record) {
+	if r.flags&flagAddrInTable != 0 {
+		index := binary.LittleEndian.Uint32(r.ip[:])
+		d.tableBytes -= tableTextBytes(d.addrs.values[index])
+		d.addrs.release(index)
+		r.flags &^= flagAddrInTable
 	}
-	if r.rate>>rateBits == rateTable {
-		d.rates.drop(r.rate & (1<<rateBits - 1))
+	if r.rate>>rateDigitBits == rateInTable {
+		d.rates.release(r.rate & (1<<rateDigitBits - 1))
 	}
-	d.places.drop(uint32(r.place))
+	d.attributes.release(uint32(r.attributesID))
 }
 
-// textCost is about what a text in a table takes, each time that it is used: too much
-// where many use it.
-func textCost(s string) int64 { return int64(len(s)) + 48 }
+// tableTextBytes is the approximate memory that a string in a table takes. It is counted for each use of the string, so
+// the total is too high if several records share one.
+func tableTextBytes(s string) int64 { return int64(len(s)) + 48 }
 
-// fill writes what an entry says into a record that uses nothing of the tables.
-func (d *Directory) fill(r *record, e *Entry) error {
-	var place Place
-	p, ok := d.places.find(Place{string(e.Locality), string(e.Flavor)})
+// storeEntry writes an entry into a record that holds no table entries.
+func (d *Directory) storeEntry(r *record, e *Entry) error {
+	var attributes Attributes
+	attributesID, ok := d.attributes.find(Attributes{string(e.Locality), string(e.Flavor)})
 	if ok {
-		place = d.places.vals[p] // no new text
+		attributes = d.attributes.values[attributesID] // reuses the strings of the table
 	} else {
-		place = Place{string(e.Locality), string(e.Flavor)}
+		attributes = Attributes{string(e.Locality), string(e.Flavor)}
 	}
-	if p = d.places.take(place); p > placesMost {
-		d.places.drop(p)
-		return errors.New("more pairs of locality and flavor than there may be")
+	if attributesID = d.attributes.acquire(attributes); attributesID > maxAttributesID {
+		d.attributes.release(attributesID)
+		return errors.New("the list has more than 65536 different pairs of locality and flavor")
 	}
-	r.place = uint16(p)
+	r.attributesID = uint16(attributesID)
 	r.dest = uint32(e.Dest)
-	r.flags = r.flags&^(phaseMask|flagTable) | uint8(e.Phase)
+	r.flags = r.flags&^(phaseMask|flagAddrInTable) | uint8(e.Phase)
 	if e.packed {
 		r.ip, r.port = e.ip, e.port
 	} else {
-		r.flags |= flagTable
+		r.flags |= flagAddrInTable
 		r.port = 0
-		binary.LittleEndian.PutUint32(r.ip[:], d.addrs.take(string(e.HostPort)))
-		d.texts += textCost(string(e.HostPort))
+		binary.LittleEndian.PutUint32(r.ip[:], d.addrs.acquire(string(e.HostPort)))
+		d.tableBytes += tableTextBytes(string(e.HostPort))
 	}
 	if r.rate, ok = packRate(e.Rate); !ok {
-		r.rate = rateTable<<rateBits | d.rates.take(math.Float64bits(e.Rate))
+		r.rate = rateInTable<<rateDigitBits | d.rates.acquire(math.Float64bits(e.Rate))
 	}
 	return nil
 }
 
-// same tells whether a record says what an entry does.
-func (d *Directory) same(r *record, e *Entry) bool {
+// matches reports whether a record already says what an entry says.
+func (d *Directory) matches(r *record, e *Entry) bool {
 	if Phase(r.flags&phaseMask) != e.Phase {
 		return false
 	}
 	if e.Phase == Removed {
 		return true
 	}
-	if int64(r.dest) != e.Dest || d.rate(r) != e.Rate {
+	if int64(r.dest) != e.Dest || d.rateOf(r) != e.Rate {
 		return false
 	}
-	if p := &d.places.vals[r.place]; p.Locality != string(e.Locality) || p.Flavor != string(e.Flavor) {
+	if attributes := &d.attributes.values[r.attributesID]; attributes.Locality != string(e.Locality) ||
+		attributes.Flavor != string(e.Flavor) {
 		return false
 	}
-	if r.flags&flagTable != 0 {
-		return d.addrs.vals[binary.LittleEndian.Uint32(r.ip[:])] == string(e.HostPort)
+	if r.flags&flagAddrInTable != 0 {
+		return d.addrs.values[binary.LittleEndian.Uint32(r.ip[:])] == string(e.HostPort)
 	}
 	return e.packed && e.ip == r.ip && e.port == r.port
 }
 
-func (d *Directory) rate(r *record) float64 {
-	if r.rate>>rateBits == rateTable {
-		return math.Float64frombits(d.rates.vals[r.rate&(1<<rateBits-1)])
+func (d *Directory) rateOf(r *record) float64 {
+	if r.rate>>rateDigitBits == rateInTable {
+		return math.Float64frombits(d.rates.values[r.rate&(1<<rateDigitBits-1)])
 	}
 	return unpackRate(r.rate)
 }
 
 func (d *Directory) setID(r *record, id []byte) {
-	if len(id) <= idInline {
+	if len(id) <= maxInlineID {
 		r.idLen = uint8(copy(r.id[:], id))
 		return
 	}
-	r.idLen = idLong
-	binary.LittleEndian.PutUint32(r.id[:], d.long.take(string(id)))
-	d.texts += textCost(string(id))
+	r.idLen = idInTable
+	binary.LittleEndian.PutUint32(r.id[:], d.longIDs.acquire(string(id)))
+	d.tableBytes += tableTextBytes(string(id))
 }
 
-// link puts a record at the end of its destination's ring.
+// link appends a record to the ring of its destination.
 func (d *Directory) link(slot uint32) {
-	r := d.at(slot)
-	r.flags |= flagLinked
+	r := d.record(slot)
+	r.flags |= flagInRing
 	d.endpoints++
-	h := d.destHash(r.dest)
-	if last, ok := d.ring(r.dest); ok {
-		l := d.at(last)
-		r.next, l.next = l.next, slot
-		d.dests.replace(h, last, slot)
+	hash := d.destHash(r.dest)
+	if last, ok := d.lastInRing(r.dest); ok {
+		lastRecord := d.record(last)
+		r.nextSlot, lastRecord.nextSlot = lastRecord.nextSlot, slot
+		d.destIndex.replace(hash, last, slot)
 		return
 	}
-	r.next = slot
-	d.dests.put(h, slot, d.slotDestHash)
+	r.nextSlot = slot
+	d.destIndex.put(hash, slot, d.slotDestHash)
 	d.destinations++
-	if w := d.bare[r.dest/64] &^ (1 << (r.dest % 64)); w == 0 {
-		delete(d.bare, r.dest/64)
+	if word := d.emptyDests[r.dest/64] &^ (1 << (r.dest % 64)); word == 0 {
+		delete(d.emptyDests, r.dest/64)
 	} else {
-		d.bare[r.dest/64] = w
+		d.emptyDests[r.dest/64] = word
 	}
 }
 
-// unlink takes a record out of its destination's ring.
+// unlink removes a record from the ring of its destination.
 func (d *Directory) unlink(slot uint32) {
-	r := d.at(slot)
-	if r.flags&flagLinked == 0 {
+	r := d.record(slot)
+	if r.flags&flagInRing == 0 {
 		return
 	}
-	r.flags &^= flagLinked
+	r.flags &^= flagInRing
 	d.endpoints--
-	last, _ := d.ring(r.dest)
-	h := d.destHash(r.dest)
-	if r.next == slot {
-		d.dests.remove(h, slot, d.slotDestHash)
+	last, _ := d.lastInRing(r.dest)
+	hash := d.destHash(r.dest)
+	if r.nextSlot == slot {
+		d.destIndex.remove(hash, slot, d.slotDestHash)
 		d.destinations--
-		d.bare[r.dest/64] |= 1 << (r.dest % 64)
+		d.emptyDests[r.dest/64] |= 1 << (r.dest % 64)
 		return
 	}
-	before := last
-	for d.at(before).next != slot {
-		before = d.at(before).next
+	predecessor := last
+	for d.record(predecessor).nextSlot != slot {
+		predecessor = d.record(predecessor).nextSlot
 	}
-	d.at(before).next = r.next
+	d.record(predecessor).nextSlot = r.nextSlot
 	if last == slot {
-		d.dests.replace(h, slot, before)
+		d.destIndex.replace(hash, slot, predecessor)
 	}
 }
 
-func (d *Directory) view(slot uint32) Endpoint {
-	r := d.at(slot)
-	return Endpoint{Number: d.number(slot), Dest: int(r.dest), Phase: Phase(r.flags & phaseMask), Rate: d.rate(r), Place: int(r.place)}
+func (d *Directory) endpointAt(slot uint32) Endpoint {
+	r := d.record(slot)
+	return Endpoint{Number: d.numberOf(slot), Dest: int(r.dest), Phase: Phase(r.flags & phaseMask),
+		Rate: d.rateOf(r), AttributesID: int(r.attributesID)}
 }
 
-// Len tells how many endpoints and destinations are listed.
+// Len returns the numbers of listed endpoints and of destinations that have one.
 func (d *Directory) Len() (endpoints, destinations int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.endpoints, d.destinations
 }
 
-// Revision is that of the list in force.
+// Revision returns the revision of the list in force.
 func (d *Directory) Revision() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.revision
 }
 
-// Named tells whether a list has ever named a destination. Where none has named
-// any, or one is just being put in force, nothing can be said, and it is true.
-func (d *Directory) Named(dest int) bool {
+// Knows reports whether a list has ever named a destination. While no destination is known at all, or a list is being
+// put in force, the answer is not certain yet, and Knows returns true.
+func (d *Directory) Knows(dest int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.named || d.changing {
+	if !d.hasDestinations || d.applying {
 		return true
 	}
 	if dest < 0 || dest > math.MaxUint32 {
 		return false
 	}
-	if d.bare[uint32(dest)/64]&(1<<(dest%64)) != 0 {
+	if d.emptyDests[uint32(dest)/64]&(1<<(dest%64)) != 0 {
 		return true
 	}
-	_, ok := d.ring(uint32(dest))
+	_, ok := d.lastInRing(uint32(dest))
 	return ok
 }
 
-// Name has a destination known that no list has named yet.
-func (d *Directory) Name(dest int) {
+// AddDestination makes a destination known even if no list has named it.
+func (d *Directory) AddDestination(dest int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ok := d.ring(uint32(dest)); !ok && dest >= 0 && dest <= math.MaxUint32 {
-		d.bare[uint32(dest)/64] |= 1 << (dest % 64)
+	if _, ok := d.lastInRing(uint32(dest)); !ok && dest >= 0 && dest <= math.MaxUint32 {
+		d.emptyDests[uint32(dest)/64] |= 1 << (dest % 64)
 	}
-	d.named = true
+	d.hasDestinations = true
 }
 
-// Of appends the endpoints of a destination to into, in the order in which they came.
-func (d *Directory) Of(dest int, into []Endpoint) []Endpoint {
+// Endpoints appends the endpoints of a destination to into, in the order in which they were added.
+func (d *Directory) Endpoints(dest int, into []Endpoint) []Endpoint {
 	if dest < 0 || dest > math.MaxUint32 {
 		return into
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	last, ok := d.ring(uint32(dest))
+	last, ok := d.lastInRing(uint32(dest))
 	if !ok {
 		return into
 	}
-	for slot := d.at(last).next; ; slot = d.at(slot).next {
-		into = append(into, d.view(slot))
+	for slot := d.record(last).nextSlot; ; slot = d.record(slot).nextSlot {
+		into = append(into, d.endpointAt(slot))
 		if slot == last {
 			return into
 		}
 	}
 }
 
-// Get tells of an endpoint; false where it is not known any more.
+// Get returns an endpoint. It returns false if the endpoint is no longer known.
 func (d *Directory) Get(n Number) (Endpoint, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, ok := d.slot(n)
+	slot, ok := d.lookup(n)
 	if !ok {
 		return Endpoint{}, false
 	}
-	return d.view(slot), true
+	return d.endpointAt(slot), true
 }
 
-// Find gives the endpoint under an id.
+// Find returns the endpoint with an id.
 func (d *Directory) Find(id string) (Endpoint, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, ok := d.find([]byte(id))
-	if !ok || d.at(slot).flags&flagStaged != 0 {
+	slot, ok := d.findID([]byte(id))
+	if !ok || d.record(slot).flags&flagStaged != 0 {
 		return Endpoint{}, false
 	}
-	return d.view(slot), true
+	return d.endpointAt(slot), true
 }
 
-// Text gives the id and the address of an endpoint.
+// Text returns the id and the address of an endpoint.
 func (d *Directory) Text(n Number) (id, hostPort string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, ok := d.slot(n)
+	slot, ok := d.lookup(n)
 	if !ok {
 		return "", ""
 	}
-	r := d.at(slot)
-	if r.flags&flagTable != 0 {
-		return string(d.idOf(r)), d.addrs.vals[binary.LittleEndian.Uint32(r.ip[:])]
+	r := d.record(slot)
+	if r.flags&flagAddrInTable != 0 {
+		return string(d.idOf(r)), d.addrs.values[binary.LittleEndian.Uint32(r.ip[:])]
 	}
 	return string(d.idOf(r)), formatAddr(r.ip, r.port)
 }
 
-// Place gives the names that Endpoint.Place stands for, as long as an endpoint has them.
-func (d *Directory) Place(i int) Place {
+// Attributes returns the attributes with an Endpoint.AttributesID. The ID is valid as long as an endpoint has it.
+func (d *Directory) Attributes(id int) Attributes {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.places.vals[i]
+	return d.attributes.values[id]
 }
 
-// Hold keeps an endpoint under its number though it is removed, until Release.
+// Hold keeps an endpoint and its number known until Release, even if a list removes the endpoint.
 func (d *Directory) Hold(n Number) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if slot, ok := d.slot(n); ok {
-		d.at(slot).flags |= flagHeld
+	if slot, ok := d.lookup(n); ok {
+		d.record(slot).flags |= flagHeld
 	}
 }
 
@@ -444,30 +449,31 @@
 func (d *Directory) Release(n Number) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	slot, ok := d.slot(n)
+	slot, ok := d.lookup(n)
 	if !ok {
 		return
 	}
-	r := d.at(slot)
-	if r.flags &^= flagHeld; Phase(r.flags&phaseMask) == Removed && r.flags&(flagUpdating|flagLinked) == 0 {
-		d.forget(slot)
+	r := d.record(slot)
+	if r.flags &^= flagHeld; Phase(r.flags&phaseMask) == Removed && r.flags&(flagHasUpdate|flagInRing) == 0 {
+		d.deleteRecord(slot)
 	}
 }
 
-// forget drops the last trace of an endpoint.
-func (d *Directory) forget(slot uint32) {
-	d.ids.remove(d.slotHash(slot), slot, d.slotHash)
-	d.release(slot)
+// deleteRecord removes an endpoint from the index of ids and frees its slot.
+func (d *Directory) deleteRecord(slot uint32) {
+	d.idIndex.remove(d.slotIDHash(slot), slot, d.slotIDHash)
+	d.free(slot)
 }
 
-// size is how many bytes it takes, about.
-func (d *Directory) size() int64 {
-	return int64(len(d.pages))*pageSize*recordSize + d.ids.bytes + d.dests.bytes + d.texts + int64(len(d.bare))*32
+// memoryBytes is Size for callers that hold the lock.
+func (d *Directory) memoryBytes() int64 {
+	return int64(len(d.pages))*pageRecords*recordBytes + d.idIndex.bytes + d.destIndex.bytes + d.tableBytes +
+		int64(len(d.emptyDests))*32
 }
 
-// Size is how many bytes it takes, about.
+// Size returns the approximate memory of the directory in bytes.
 func (d *Directory) Size() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.size()
+	return d.memoryBytes()
 }
--- a/internal/membership/fuzz_read_test.go
+++ b/internal/membership/fuzz_read_test.go
@@ -40,9 +40,9 @@
 	list.revision = d.Revision()
 	list.endpoints, list.destinations = d.Len()
 	for _, dest := range dests {
-		for _, e := range d.Of(dest, nil) {
+		for _, e := range d.Endpoints(dest, nil) {
 			id, hostPort := d.Text(e.Number)
-			place := d.Place(e.Place)
+			place := d.Attributes(e.AttributesID)
 			list.members = append(list.members, Member{id, hostPort, place.Locality, place.Flavor, e.Dest, e.Phase.String(), e.Rate})
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 func sizesOf(d *Directory) tableSizes {
-	return tableSizes{len(d.long.at), len(d.addrs.at), len(d.rates.at), len(d.places.at), d.texts}
+	return tableSizes{len(d.longIDs.indexes), len(d.addrs.indexes), len(d.rates.indexes), len(d.attributes.indexes), d.tableBytes}
 }
 
 // checkEmptied: a whole list without an entry leaves nothing of what a directory held.
@@ -145,8 +145,8 @@
 	if endpoints, destinations := d.Len(); endpoints != 0 || destinations != 0 || sizesOf(d) != (tableSizes{}) {
 		t.Errorf("%d endpoints, %d destinations and %+v are left of no list", endpoints, destinations, sizesOf(d))
 	}
-	for i := range shards {
-		if ids, dests := d.ids.shards[i].used, d.dests.shards[i].used; ids != 0 || dests != 0 {
+	for i := range shardCount {
+		if ids, dests := d.idIndex.shards[i].used, d.destIndex.shards[i].used; ids != 0 || dests != 0 {
 			t.Errorf("shard %d keeps %d ids and %d destinations", i, ids, dests)
 		}
 	}
@@ -156,7 +156,7 @@
 func checkMembers(t *testing.T, list *List) {
 	t.Helper()
 	for i := range list.Members {
-		if err := list.Members[i].Check(); err != nil {
+		if err := list.Members[i].Validate(); err != nil {
 			t.Errorf("taken: %+v, %v", list.Members[i], err)
 		}
 	}
@@ -269,7 +269,7 @@
 // followWatch reads a watch into a directory as discovery's client does.
 func followWatch(t *testing.T, d *Directory, in io.Reader) (watch watchRead, going int) {
 	t.Helper()
-	lines := NewLines(in, func() { going++ })
+	lines := NewWatchReader(in, func() { going++ })
 	for {
 		begins, err := lines.Next()
 		if err != nil {
@@ -281,7 +281,7 @@
 		}
 		list, err := readInto(t, d, lines)
 		if err != nil {
-			watch.torn = lines.Torn() != nil
+			watch.torn = lines.StreamErr() != nil
 			watch.broken = !watch.torn
 			return watch, going
 		}
@@ -371,7 +371,7 @@
 		t.Run(name, func(t *testing.T) {
 			in := io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(x.part, length/len(x.part))),
 				strings.NewReader(`"revision":3,"members":[]}`+"\n"))
-			lines := NewLines(in, func() {})
+			lines := NewWatchReader(in, func() {})
 			if begins, err := lines.Next(); !begins {
 				t.Fatal("no list", err)
 			}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,7 +1,6 @@
-// Package membership holds discovery's list: which endpoints each destination
-// has. The list is read as a stream and kept packed, a few tens of bytes an
-// endpoint, so that one relay can know far more destinations than it ever has
-// messages for.
+// Package membership holds the list of the discovery service, which names the endpoints of each destination. The list
+// is read as a stream and stored in a few tens of bytes per endpoint, so that a relay can know far more destinations
+// than it has messages for.
 package membership
 
 import (
@@ -11,10 +10,10 @@
 	"net"
 )
 
-// Phase is what the list says of an endpoint.
+// Phase is the state of an endpoint in the list.
 type Phase uint8
 
-// Phases; the list names them by the words up, draining and removed.
+// Phases of an endpoint. The list has them as the strings up, draining and removed.
 const (
 	NoPhase Phase = iota
 	Up
@@ -22,21 +21,21 @@
 	Removed
 )
 
-var phases = [...]string{Up: "up", Draining: "draining", Removed: "removed"}
+var phaseNames = [...]string{Up: "up", Draining: "draining", Removed: "removed"}
 
-func (p Phase) String() string { return phases[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
-// phaseOf maps the list's word; NoPhase for one that there is not.
-func phaseOf(word []byte) Phase {
+// parsePhase returns the phase with a name, or NoPhase if the name is unknown.
+func parsePhase(name []byte) Phase {
 	for p := Up; p <= Removed; p++ {
-		if string(word) == phases[p] {
+		if string(name) == phaseNames[p] {
 			return p
 		}
 	}
 	return NoPhase
 }
 
-// Member is an entry of the list as JSON.
+// Member is the JSON form of an entry of the list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -44,17 +43,17 @@
 	Flavor   string  `json:"flavor"`
 	Cell     int     `json:"cell"` // the destination
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"` // calls a second that the destination takes
+	Size     float64 `json:"size"` // calls per second that the destination accepts
 }
 
-// List is discovery's list, or what changed in it, as JSON.
+// List is the JSON form of a full list (Complete) or of a delta.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Entry is an entry of the list as it is read; its bytes are good until the next one.
+// Entry is an entry of a list that is being read. Its byte slices are valid until the next entry is read.
 type Entry struct {
 	ID       []byte
 	HostPort []byte
@@ -64,19 +63,20 @@
 	Phase    Phase
 	Rate     float64
 
-	ip     [4]byte // HostPort, where packed is set
+	ip     [4]byte // HostPort in binary form if packed is set
 	port   uint16
 	packed bool
 }
 
-// check tells of an entry that cannot be.
-func (e *Entry) check() error {
-	e.pack()
+// validate packs the address and returns an error if the entry is invalid.
+func (e *Entry) validate() error {
+	e.packAddress()
 	switch {
 	case len(e.ID) == 0:
-		return errors.New("member without id")
-	case len(e.ID) > idMost || len(e.HostPort) > idMost || len(e.Locality) > idMost || len(e.Flavor) > idMost:
-		return fmt.Errorf("member %.40s: a text of over %d bytes", e.ID, idMost)
+		return errors.New("member has no id")
+	case len(e.ID) > maxTextBytes || len(e.HostPort) > maxTextBytes ||
+		len(e.Locality) > maxTextBytes || len(e.Flavor) > maxTextBytes:
+		return fmt.Errorf("member %.40s: a string is longer than %d bytes", e.ID, maxTextBytes)
 	case e.Phase == NoPhase:
 		return fmt.Errorf("member %s: unknown phase", e.ID)
 	case e.Phase == Removed:
@@ -93,18 +93,18 @@
 	return nil
 }
 
-func (e *Entry) pack() { e.ip, e.port, e.packed = packAddr(e.HostPort) }
+func (e *Entry) packAddress() { e.ip, e.port, e.packed = packAddr(e.HostPort) }
 
-// idMost bounds each text of an entry, in bytes.
-const idMost = 1 << 10
+// maxTextBytes is the longest string that an entry may have.
+const maxTextBytes = 1 << 10
 
-// Entry gives the entry that a member is; Check tells whether it can be.
+// Entry converts the member to an Entry without validating it.
 func (m *Member) Entry() *Entry {
 	e := &Entry{ID: []byte(m.ID), HostPort: []byte(m.HostPort), Locality: []byte(m.Locality), Flavor: []byte(m.Flavor),
-		Dest: int64(m.Cell), Phase: phaseOf([]byte(m.Phase)), Rate: m.Size}
-	e.pack()
+		Dest: int64(m.Cell), Phase: parsePhase([]byte(m.Phase)), Rate: m.Size}
+	e.packAddress()
 	return e
 }
 
-// Check tells of a member that cannot be.
-func (m *Member) Check() error { return m.Entry().check() }
+// Validate returns an error if the member is invalid.
+func (m *Member) Validate() error { return m.Entry().validate() }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -45,9 +45,9 @@
 func (d *Directory) members(dests int) map[int][]Member {
 	got := map[int][]Member{}
 	for dest := range dests {
-		for _, e := range d.Of(dest, nil) {
+		for _, e := range d.Endpoints(dest, nil) {
 			id, addr := d.Text(e.Number)
-			p := d.Place(e.Place)
+			p := d.Attributes(e.AttributesID)
 			got[dest] = append(got[dest], Member{id, addr, p.Locality, p.Flavor, e.Dest, e.Phase.String(), e.Rate})
 		}
 	}
@@ -162,7 +162,7 @@
 				if (len(want[dest]) > 0 || len(got[dest]) > 0) && !reflect.DeepEqual(want[dest], got[dest]) {
 					t.Fatalf("seed %d step %d: destination %d\nwant %+v\ngot  %+v", seed, step, dest, want[dest], got[dest])
 				}
-				if got := d.Named(dest); len(m.named) > 0 && (got && !m.ever[dest] || !got && m.named[dest]) {
+				if got := d.Knows(dest); len(m.named) > 0 && (got && !m.ever[dest] || !got && m.named[dest]) {
 					t.Fatalf("seed %d step %d: %d named: %v", seed, step, dest, got)
 				}
 			}
@@ -192,12 +192,12 @@
 			d.Release(n)
 		}
 		take(t, d, List{Complete: true}, 7)
-		if uses := len(d.long.at) + len(d.addrs.at) + len(d.rates.at) + len(d.places.at); uses > 0 || d.texts != 0 {
-			t.Errorf("seed %d: %d values and %d bytes left in the tables of an empty directory", seed, uses, d.texts)
+		if uses := len(d.longIDs.indexes) + len(d.addrs.indexes) + len(d.rates.indexes) + len(d.attributes.indexes); uses > 0 || d.tableBytes != 0 {
+			t.Errorf("seed %d: %d values and %d bytes left in the tables of an empty directory", seed, uses, d.tableBytes)
 		}
 		used := 0
-		for i := range shards {
-			used += d.ids.shards[i].used + d.dests.shards[i].used
+		for i := range shardCount {
+			used += d.idIndex.shards[i].used + d.destIndex.shards[i].used
 		}
 		if used > 0 {
 			t.Errorf("seed %d: %d left in the indexes", seed, used)
@@ -218,17 +218,17 @@
 		t.Fatal(told, err)
 	}
 	s.Entry(other.Entry(), true)
-	got, done := d.Drained(9, nil)
-	if len(got) != 1 || !done || got[0].Now.Phase != Draining || d.Of(3, nil)[0].Phase != Draining || d.Of(3, nil)[1].Rate != 1 {
-		t.Errorf("drained %+v, now %+v", got, d.Of(3, nil))
+	got, done := d.TakeDrained(9, nil)
+	if len(got) != 1 || !done || got[0].Now.Phase != Draining || d.Endpoints(3, nil)[0].Phase != Draining || d.Endpoints(3, nil)[1].Rate != 1 {
+		t.Errorf("drained %+v, now %+v", got, d.Endpoints(3, nil))
 	}
 	s.Abort()
-	if all := d.Of(3, nil); len(all) != 2 || all[0].Phase != Draining || all[1].Rate != 1 {
+	if all := d.Endpoints(3, nil); len(all) != 2 || all[0].Phase != Draining || all[1].Rate != 1 {
 		t.Errorf("after a torn list: %+v", all)
 	}
 	s, _ = d.Stage(context.Background())
 	other.Phase = "draining"
-	if told, _ := s.Entry(other.Entry(), false); told || d.Of(3, nil)[1].Phase != Up {
+	if told, _ := s.Entry(other.Entry(), false); told || d.Endpoints(3, nil)[1].Phase != Up {
 		t.Error("word of an older list bound")
 	}
 	s.Abort()
@@ -248,11 +248,11 @@
 		t.Fatalf("after %d entries: %v", n, err)
 	}
 	s.Abort()
-	if endpoints, _ := d.Len(); endpoints != 1 || len(d.Of(3, nil)) != 1 || d.Size() > 400<<10 {
+	if endpoints, _ := d.Len(); endpoints != 1 || len(d.Endpoints(3, nil)) != 1 || d.Size() > 400<<10 {
 		t.Errorf("%d endpoints, %d bytes", endpoints, d.Size())
 	}
 	take(t, d, List{Revision: 2, Complete: true, Members: []Member{{ID: "s-2", HostPort: "10.0.0.1:1", Cell: 4, Phase: "up"}}}, 9)
-	if len(d.Of(4, nil)) != 1 || len(d.Of(3, nil)) != 0 || d.Revision() != 2 {
+	if len(d.Endpoints(4, nil)) != 1 || len(d.Endpoints(3, nil)) != 0 || d.Revision() != 2 {
 		t.Error("a list that fits is not taken afterwards")
 	}
 }
@@ -333,7 +333,7 @@
 		"empty": "", "cut": `{"revision":41,"members":[` + a, "no members": `{"revision":41}`, "null members": `{"members":null}`,
 		"two": `{"members":[]}{"members":[]}`, "behind": `{"members":[]}x`, "open behind": `{"members":[]}{`, "wrong type": `{"members":[{"id":7}]}`,
 		"phase": `{"members":[` + bad + `]}`, "no id": `{"members":[{"phase":"up"}]}`, "no place": `{"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`,
-		"cell": `{"members":[{"id":"s-1","phase":"up","host_port":"a:1","cell":-1}]}`, "long": `{"members":[{"id":"` + strings.Repeat("x", idMost+1) + `","phase":"removed"}]}`,
+		"cell": `{"members":[{"id":"s-1","phase":"up","host_port":"a:1","cell":-1}]}`, "long": `{"members":[{"id":"` + strings.Repeat("x", maxTextBytes+1) + `","phase":"removed"}]}`,
 	} {
 		if got, err := readAll(strings.NewReader(text), false); err == nil {
 			t.Errorf("%s: %+v", name, got)
@@ -363,7 +363,7 @@
 		"text behind it": {one + "x\n", "b"},
 	} {
 		going := 0
-		l := NewLines(strings.NewReader(x.text), func() { going++ })
+		l := NewWatchReader(strings.NewReader(x.text), func() { going++ })
 		got := ""
 		for !strings.ContainsAny(got, "bt") {
 			list, err := l.Next()
@@ -378,7 +378,7 @@
 			switch {
 			case err == nil:
 				got += fmt.Sprint(r.Revision)
-			case l.Torn() != nil:
+			case l.StreamErr() != nil:
 				got += "t"
 			default:
 				got += "b"
@@ -387,7 +387,7 @@
 		if got != x.want {
 			t.Errorf("%s: %s, want %s", name, got, x.want)
 		}
-		if strings.HasPrefix(name, "long") && going < len(long)/readSize-1 {
+		if strings.HasPrefix(name, "long") && going < len(long)/readBufferSize-1 {
 			t.Errorf("%s: said to go on %d times", name, going)
 		}
 	}
@@ -490,7 +490,7 @@
 // TestGrowthIsGradual: no entry moves more than a small part of an index, however long it is.
 func TestGrowthIsGradual(t *testing.T) {
 	x, most := &index{}, 0
-	hash := func(slot uint32) uint64 { return mix(uint64(slot)) }
+	hash := func(slot uint32) uint64 { return mixHash(uint64(slot)) }
 	for slot := range uint32(500_000) {
 		moved := 0
 		x.put(hash(slot), slot, func(s uint32) uint64 { moved++; return hash(s) })
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -5,76 +5,74 @@
 	"strconv"
 )
 
-// What a record has no room for stands once in a table, counted: long ids,
-// addresses that are not IPv4, rates of many digits, pairs of locality and flavor.
-
-// table keeps each value once, as long as something uses it.
+// table stores each value once, with a reference count, and deletes it with its last reference. Tables hold what does
+// not fit into a record: long ids, addresses that are not IPv4, rates with many digits, pairs of locality and flavor.
 type table[K comparable] struct {
-	at   map[K]uint32
-	vals []K
-	uses []uint32
-	free []uint32
+	indexes     map[K]uint32
+	values      []K
+	refs        []uint32
+	freeIndexes []uint32
 }
 
-// take gives the number of a value and counts a use.
-func (t *table[K]) take(v K) uint32 {
-	if i, ok := t.at[v]; ok {
-		t.uses[i]++
+// acquire adds a reference to a value and returns the value's index.
+func (t *table[K]) acquire(value K) uint32 {
+	if i, ok := t.indexes[value]; ok {
+		t.refs[i]++
 		return i
 	}
-	if t.at == nil {
-		t.at = map[K]uint32{}
+	if t.indexes == nil {
+		t.indexes = map[K]uint32{}
 	}
-	i := uint32(len(t.vals))
-	if n := len(t.free); n > 0 {
-		i, t.free = t.free[n-1], t.free[:n-1]
-		t.vals[i], t.uses[i] = v, 1
+	i := uint32(len(t.values))
+	if n := len(t.freeIndexes); n > 0 {
+		i, t.freeIndexes = t.freeIndexes[n-1], t.freeIndexes[:n-1]
+		t.values[i], t.refs[i] = value, 1
 	} else {
-		t.vals, t.uses = append(t.vals, v), append(t.uses, 1)
+		t.values, t.refs = append(t.values, value), append(t.refs, 1)
 	}
-	t.at[v] = i
+	t.indexes[value] = i
 	return i
 }
 
-// find gives the number of a value that is kept already.
-func (t *table[K]) find(v K) (uint32, bool) {
-	i, ok := t.at[v]
+// find returns the index of a value that is in the table.
+func (t *table[K]) find(value K) (uint32, bool) {
+	i, ok := t.indexes[value]
 	return i, ok
 }
 
-// drop counts a use less.
-func (t *table[K]) drop(i uint32) {
-	if t.uses[i]--; t.uses[i] == 0 {
-		var none K
-		delete(t.at, t.vals[i])
-		t.vals[i] = none
-		t.free = append(t.free, i)
+// release drops a reference to a value.
+func (t *table[K]) release(i uint32) {
+	if t.refs[i]--; t.refs[i] == 0 {
+		var zero K
+		delete(t.indexes, t.values[i])
+		t.values[i] = zero
+		t.freeIndexes = append(t.freeIndexes, i)
 	}
 }
 
-// packAddr packs an IPv4 address and port that are written as formatAddr writes them.
+// packAddr parses an IPv4 address with a port. It returns false unless the text is exactly what formatAddr returns.
 func packAddr(text []byte) (ip [4]byte, port uint16, ok bool) {
-	at := 0
-	number := func(most uint32, end byte) uint32 {
-		n, from := uint32(0), at
-		for ; at < len(text) && text[at] >= '0' && text[at] <= '9' && at-from < 5; at++ {
-			n = n*10 + uint32(text[at]-'0')
+	position := 0
+	parseNumber := func(maxValue uint32, terminator byte) uint32 {
+		n, start := uint32(0), position
+		for ; position < len(text) && text[position] >= '0' && text[position] <= '9' && position-start < 5; position++ {
+			n = n*10 + uint32(text[position]-'0')
 		}
-		ok = at > from && n <= most && (at == from+1 || text[from] != '0')
-		if end == 0 {
-			ok = ok && at == len(text)
+		ok = position > start && n <= maxValue && (position == start+1 || text[start] != '0')
+		if terminator == 0 {
+			ok = ok && position == len(text)
 		} else {
-			ok = ok && at < len(text) && text[at] == end
+			ok = ok && position < len(text) && text[position] == terminator
 		}
-		at++
+		position++
 		return n
 	}
-	for i, end := range [4]byte{'.', '.', '.', ':'} {
-		if ip[i] = byte(number(255, end)); !ok {
+	for i, terminator := range [4]byte{'.', '.', '.', ':'} {
+		if ip[i] = byte(parseNumber(255, terminator)); !ok {
 			return ip, 0, false
 		}
 	}
-	port = uint16(number(math.MaxUint16, 0))
+	port = uint16(parseNumber(math.MaxUint16, 0))
 	return ip, port, ok
 }
 
@@ -89,26 +87,29 @@
 	return string(strconv.AppendUint(append(b, ':'), uint64(port), 10))
 }
 
-// A rate is 28 bits of digits over a power of ten in 4 bits, where that is the
-// same float64; else a number in a table, under the last power.
+// A packed rate consists of 28 bits of digits and, in the 4 bits above, the power of ten that divides them. A rate that
+// is not exactly the same float64 in this form is stored in a table: the packed rate then has the exponent rateInTable
+// and the table index in place of the digits.
 const (
-	rateBits  = 28
-	rateTable = 15
+	rateDigitBits = 28
+	rateInTable   = 15
 )
 
-var tens = [rateTable]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14}
+var powersOfTen = [rateInTable]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14}
 
-func packRate(v float64) (uint32, bool) {
-	for k, ten := range tens {
-		m := math.Round(v * ten)
-		if !(m >= 0 && m < 1<<rateBits) {
+func packRate(rate float64) (uint32, bool) {
+	for exponent, power := range powersOfTen {
+		digits := math.Round(rate * power)
+		if !(digits >= 0 && digits < 1<<rateDigitBits) {
 			return 0, false
 		}
-		if m/ten == v {
-			return uint32(k)<<rateBits | uint32(m), true
+		if digits/power == rate {
+			return uint32(exponent)<<rateDigitBits | uint32(digits), true
 		}
 	}
 	return 0, false
 }
 
-func unpackRate(p uint32) float64 { return float64(p&(1<<rateBits-1)) / tens[p>>rateBits] }
+func unpackRate(packed uint32) float64 {
+	return float64(packed&(1<<rateDigitBits-1)) / powersOfTen[packed>>rateDigitBits]
+}
--- a/internal/membership/read.go
+++ b/internal/membership/read.go
@@ -9,57 +9,56 @@
 	"github.com/go-faster/jx"
 )
 
-const readSize = 64 << 10 // bytes read at once, and those after which a list counts as going on
+const readBufferSize = 64 << 10 // bytes read at once; a list of that many bytes reports progress each time
 
-// Header is what a list says of itself; HasRevision tells whether it has come yet.
+// Header holds the fields of a list besides its members. HasRevision is set once the revision has been read.
 type Header struct {
 	Revision    int64
 	Complete    bool
 	HasRevision bool
 }
 
-// Read reads one list, in little memory however long it is, and hands its entries
-// to take, in order. An error of take ends it. Entries that cannot be are an error,
-// or left out where lenient is set.
-func Read(in io.Reader, lenient bool, take func(h *Header, e *Entry) error) (Header, error) {
-	d := jx.Decode(in, readSize)
-	h, err := readList(d, lenient, take)
+// Read reads one list and passes its entries to handle in order. It needs little memory however long the list is. It
+// stops at the first error of handle. An invalid entry is an error, or is skipped if lenient is set.
+func Read(in io.Reader, lenient bool, handle func(h *Header, e *Entry) error) (Header, error) {
+	d := jx.Decode(in, readBufferSize)
+	h, err := readList(d, lenient, handle)
 	if err == nil {
-		err = Ended(d)
+		err = CheckEnd(d)
 	}
 	return h, err
 }
 
-// ReadIn reads a list that stands inside of something else as Read does, leniently. It
-// may have no members.
-func ReadIn(d *jx.Decoder, take func(h *Header, e *Entry) error) (Header, error) {
-	return readList(d, true, take)
+// ReadEmbedded reads a list that is part of a larger JSON document, as Read does with lenient set. The list may lack
+// the key members.
+func ReadEmbedded(d *jx.Decoder, handle func(h *Header, e *Entry) error) (Header, error) {
+	return readList(d, true, handle)
 }
 
-// Ended makes sure that nothing but space is left.
-func Ended(d *jx.Decoder) error {
+// CheckEnd returns an error if anything but white space follows.
+func CheckEnd(d *jx.Decoder) error {
 	if d.Next() == jx.Invalid {
 		if err := d.Skip(); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 	}
-	return errors.New("something behind the end")
+	return errors.New("unexpected data after the end of the JSON value")
 }
 
-func readList(d *jx.Decoder, lenient bool, take func(h *Header, e *Entry) error) (h Header, err error) {
-	x := &Entry{}
-	members := false
-	one := func(d *jx.Decoder) error {
-		if err := x.read(d); err != nil {
+func readList(d *jx.Decoder, lenient bool, handle func(h *Header, e *Entry) error) (h Header, err error) {
+	entry := &Entry{}
+	hasMembers := false
+	readMember := func(d *jx.Decoder) error {
+		if err := entry.read(d); err != nil {
 			return err
 		}
-		if err := x.check(); err != nil {
+		if err := entry.validate(); err != nil {
 			if lenient {
 				return nil
 			}
 			return err
 		}
-		return take(&h, x)
+		return handle(&h, entry)
 	}
 	err = d.ObjBytes(func(d *jx.Decoder, key []byte) (err error) {
 		if d.Next() == jx.Null {
@@ -72,20 +71,20 @@
 		case "complete":
 			h.Complete, err = d.Bool()
 		case "members":
-			members = true
-			err = d.Arr(one)
+			hasMembers = true
+			err = d.Arr(readMember)
 		default:
 			err = d.Skip()
 		}
 		return err
 	})
-	if err == nil && !members && !lenient {
-		err = errors.New("no members")
+	if err == nil && !hasMembers && !lenient {
+		err = errors.New("the list has no members array")
 	}
 	return h, err
 }
 
-// read fills an entry. Where it names a key twice the last value counts.
+// read reads an entry. If a key is repeated, its last value counts.
 func (e *Entry) read(d *jx.Decoder) error {
 	e.ID, e.HostPort, e.Locality, e.Flavor = e.ID[:0], e.HostPort[:0], e.Locality[:0], e.Flavor[:0]
 	e.Dest, e.Phase, e.Rate = 0, NoPhase, 0
@@ -107,7 +106,7 @@
 		case "phase":
 			var word []byte
 			if word, err = d.StrBytes(); err == nil {
-				e.Phase = phaseOf(word)
+				e.Phase = parsePhase(word)
 			}
 		case "size":
 			e.Rate, err = d.Float64()
@@ -118,30 +117,31 @@
 	})
 }
 
-// Lines reads a watch: empty lines, and lists of one line each or indented over
-// many, from a line with "{" to one with "}".
-type Lines struct {
-	in    *bufio.Reader
-	going func() // something came of a watch that is sound
-
-	first, done, indented bool
-	mid                   bool // in a line that is longer than the buffer
-	rest                  []byte
-	since                 int
-	broke                 error // how the stream ended
-	bad                   error // what is wrong with a list's lines
+// WatchReader reads the stream of a watch. The stream consists of empty lines, which are heartbeats, and of lists. A
+// list takes one line, or several lines if it is indented, from a line with just "{" to a line with just "}".
+type WatchReader struct {
+	in         *bufio.Reader
+	onProgress func() // called for valid data, see NewWatchReader
+
+	atFirstLine, done, indented bool
+	midLine                     bool // within a line that is longer than the buffer
+	buffered                    []byte
+	sinceProgress               int
+	streamErr                   error // the error that ended the stream within a list
+	formatErr                   error // the error in the line structure of a list
 }
 
-// NewLines reads in; going is called as a line begins, and time and again inside a long list.
-func NewLines(in io.Reader, going func()) *Lines {
-	return &Lines{in: bufio.NewReaderSize(in, readSize), going: going}
+// NewWatchReader creates a WatchReader for in. It calls onProgress at each heartbeat, at the end of each list, after
+// the first line of an indented one, and after each readBufferSize bytes of a long list.
+func NewWatchReader(in io.Reader, onProgress func()) *WatchReader {
+	return &WatchReader{in: bufio.NewReaderSize(in, readBufferSize), onProgress: onProgress}
 }
 
-var errNoEnd = errors.New("a list without its end")
+var errUnterminatedList = errors.New("the list is not terminated")
 
-// Next goes to the next line. It reports whether a list begins there, which Read
-// then gives; else it is an empty one. An error is the stream's end.
-func (l *Lines) Next() (list bool, err error) {
+// Next advances to the next line. It returns true if a list begins there, which Read then returns, and false for an
+// empty line. An error means that the stream has ended.
+func (l *WatchReader) Next() (list bool, err error) {
 	for {
 		c, err := l.in.ReadByte()
 		if err != nil {
@@ -150,101 +150,105 @@
 		switch c {
 		case ' ', '\t', '\r':
 		case '\n':
-			l.going()
+			l.onProgress()
 			return false, nil
 		default:
 			l.in.UnreadByte()
-			l.first, l.done, l.indented, l.mid, l.rest, l.since = true, false, false, false, nil, 0
-			l.broke, l.bad = nil, nil
+			l.atFirstLine, l.done, l.indented, l.midLine, l.buffered, l.sinceProgress =
+				true, false, false, false, nil, 0
+			l.streamErr, l.formatErr = nil, nil
 			return true, nil
 		}
 	}
 }
 
-// Torn tells how the stream ended in the middle of a list: the next watch brings it again.
-func (l *Lines) Torn() error { return l.broke }
+// StreamErr returns the error that ended the stream within a list, or nil. The next watch sends that list again.
+func (l *WatchReader) StreamErr() error { return l.streamErr }
 
-// Read gives the bytes of the list that Next found.
-func (l *Lines) Read(p []byte) (int, error) {
-	if len(l.rest) == 0 {
-		if err := l.fill(); err != nil {
+// Read implements io.Reader for the bytes of the list that Next has found.
+func (l *WatchReader) Read(p []byte) (int, error) {
+	if len(l.buffered) == 0 {
+		if err := l.readLine(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, l.rest)
-	l.rest = l.rest[n:]
+	n := copy(p, l.buffered)
+	l.buffered = l.buffered[n:]
 	return n, nil
 }
 
-// fill reads on, to the end of a line at most.
-func (l *Lines) fill() error {
+// readLine reads the next part of the list, at most to the end of a line.
+func (l *WatchReader) readLine() error {
 	switch {
-	case l.broke != nil:
+	case l.streamErr != nil:
 		return io.ErrUnexpectedEOF
-	case l.bad != nil:
-		return l.bad
+	case l.formatErr != nil:
+		return l.formatErr
 	case l.done:
 		return io.EOF
 	}
 	text, err := l.in.ReadSlice('\n')
-	whole := err == nil
-	if !whole && err != bufio.ErrBufferFull {
-		l.broke = err
+	lineEnded := err == nil
+	if !lineEnded && err != bufio.ErrBufferFull {
+		l.streamErr = err
 		return io.ErrUnexpectedEOF
 	}
 	line := bytes.TrimRight(text, " \t\r\n")
-	switch begins := !l.mid; {
-	case l.first && whole && string(line) == "{":
+	switch atLineStart := !l.midLine; {
+	case l.atFirstLine && lineEnded && string(line) == "{":
 		l.indented = true
-	case l.indented && begins && (whole && len(line) == 0 || len(line) > 0 && line[0] == '{'):
-		l.bad = errNoEnd
-		return l.bad
+	case l.indented && atLineStart && (lineEnded && len(line) == 0 || len(line) > 0 && line[0] == '{'):
+		l.formatErr = errUnterminatedList
+		return l.formatErr
 	case l.indented:
-		l.done = whole && begins && string(line) == "}"
+		l.done = lineEnded && atLineStart && string(line) == "}"
 	default:
-		l.done = whole
+		l.done = lineEnded
 	}
-	// A long list goes on as long as it brings much; a short one has to end.
-	if l.since += len(text); l.since >= readSize || l.first && whole || l.done {
-		l.since = 0
-		l.going()
+	// A long list reports progress by its size. A short one does so only at its end, and at the end of its first line:
+	// a watch that stalls within a list must not count as alive.
+	if l.sinceProgress += len(text); l.sinceProgress >= readBufferSize || l.atFirstLine && lineEnded || l.done {
+		l.sinceProgress = 0
+		l.onProgress()
 	}
-	l.first, l.mid, l.rest = false, !whole, text
+	l.atFirstLine, l.midLine, l.buffered = false, !lineEnded, text
 	return nil
 }
 
-// Drain reads past what is left of a list.
-func (l *Lines) Drain() error {
+// DiscardRest reads and discards the rest of a list.
+func (l *WatchReader) DiscardRest() error {
 	_, err := io.Copy(io.Discard, l)
 	return err
 }
 
-// paced calls going time and again while a long text is read.
-type paced struct {
-	in    io.Reader
-	going func()
-	since int
+// progressReader calls onProgress after each readBufferSize bytes that are read.
+type progressReader struct {
+	in            io.Reader
+	onProgress    func()
+	sinceProgress int
 }
 
-// Paced has going called for each stretch that in gives.
-func Paced(in io.Reader, going func()) io.Reader { return &paced{in: in, going: going} }
+// WithProgress returns a reader for in that calls onProgress after each readBufferSize bytes.
+func WithProgress(in io.Reader, onProgress func()) io.Reader {
+	return &progressReader{in: in, onProgress: onProgress}
+}
 
-func (p *paced) Read(b []byte) (int, error) {
+func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.in.Read(b)
-	if p.since += n; p.since >= readSize {
-		p.since = 0
-		p.going()
+	if p.sinceProgress += n; p.sinceProgress >= readBufferSize {
+		p.sinceProgress = 0
+		p.onProgress()
 	}
 	return n, err
 }
 
-// Receiver takes one list as it is read. One of End and Abort is the last that it hears.
+// Receiver receives one list while it is read. The last call is either End or Abort.
 type Receiver interface {
-	// Entry takes an entry, whose bytes are good until it returns. bind says that the
-	// list is no older than the one in force, so that word of a drain in it counts.
-	Entry(e *Entry, bind bool) error
-	// End: the list was read whole and is sound.
+	// Entry receives an entry, whose byte slices are valid until Entry returns. applyDrains means that the list is not
+	// older than the one in force, so that a drain in it takes effect at once.
+	Entry(e *Entry, applyDrains bool) error
+	// End means that the whole list was read and is valid.
 	End(revision int64, complete bool)
-	// Abort: it counts for nothing.
+	// Abort means that the list is to be discarded.
 	Abort()
 }
--- a/internal/membership/stage.go
+++ b/internal/membership/stage.go
@@ -2,291 +2,294 @@
 
 import "context"
 
-// Change is what a list changed of an endpoint: Was is of phase NoPhase where it
-// is new, Now of phase Removed where it has gone. Its number is the same in both.
+// Change is a change that a list makes to an endpoint. Was has the phase NoPhase if the endpoint is new; Now has the
+// phase Removed if the endpoint is removed. Both have the same number.
 type Change struct{ Was, Now Endpoint }
 
-// Stage is a list that is being read into a directory. Nothing of it is in force
-// before its end, but for the word that an endpoint which is up shall get nothing
-// new: that binds as it is read.
+// Stage is a list that is being read into a directory. The list takes effect only after its end, with one exception:
+// an endpoint that is up, and that the list says is draining or removed, is marked as draining as soon as its entry is
+// read.
 type Stage struct {
-	d     *Directory
-	first uint32 // of the staged records, plus one
-	last  uint32
-	seen  map[uint32]*seenPage // slots that the list names, by page
-	page  *seenPage            // the one that was used last
-	paged uint32               // and its number
+	directory        *Directory
+	firstStaged      uint32                 // slot of the first staged record, plus one; 0 if there is none
+	lastStaged       uint32                 // slot of the last one, plus one
+	listed           map[uint32]*pageBitmap // slots that the list names, by the index of their page
+	currentPage      *pageBitmap            // the entry of listed that was used last
+	currentPageIndex uint32                 // its index in listed
 }
 
-// seenPage is a bit for each slot of a page.
-type seenPage [pageSize / 64]uint64
+// pageBitmap has a bit for each slot of a page.
+type pageBitmap [pageRecords / 64]uint64
 
-// Stage begins a list. It waits until the one before it is in force, or ctx ends.
+// Stage begins a list. It waits until the previous list is in force or aborted, or until ctx ends.
 func (d *Directory) Stage(ctx context.Context) (*Stage, error) {
 	select {
-	case d.busy <- struct{}{}:
+	case d.listLock <- struct{}{}:
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
-	return &Stage{d: d}, nil
+	return &Stage{directory: d}, nil
 }
 
-// Entry takes an entry. Where bind is set, word of a drain binds at once; told
-// reports whether there was any, for Drained.
-func (s *Stage) Entry(e *Entry, bind bool) (told bool, err error) {
-	d := s.d
+// Entry stages an entry. If applyDrains is set, a drain takes effect at once; drains then reports whether there is one,
+// for TakeDrained.
+func (s *Stage) Entry(e *Entry, applyDrains bool) (drains bool, err error) {
+	d := s.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	old, known := d.find(e.ID)
+	existing, known := d.findID(e.ID)
 	if !known && e.Phase == Removed {
 		return false, nil
 	}
 	if known {
-		s.see(old)
-		r := d.at(old)
-		if bind && e.Phase != Up && r.flags&flagStaged == 0 && Phase(r.flags&phaseMask) == Up {
+		s.markListed(existing)
+		r := d.record(existing)
+		if applyDrains && e.Phase != Up && r.flags&flagStaged == 0 && Phase(r.flags&phaseMask) == Up {
 			r.flags = r.flags&^phaseMask | uint8(Draining)
-			d.drained = append(d.drained, old)
-			told = true
+			d.drainedSlots = append(d.drainedSlots, existing)
+			drains = true
 		}
-		if r.flags&(flagStaged|flagUpdating) == 0 && d.same(r, e) {
-			return told, nil
+		if r.flags&(flagStaged|flagHasUpdate) == 0 && d.matches(r, e) {
+			return drains, nil
 		}
-		r.flags |= flagUpdating
+		r.flags |= flagHasUpdate
 	}
-	slot, err := d.alloc()
+	slot, err := d.allocate()
 	if err != nil {
-		return told, err
+		return drains, err
 	}
-	r := d.at(slot)
+	r := d.record(slot)
 	r.flags = flagStaged
-	if err := d.fill(r, e); err != nil {
-		*r = record{gen: r.gen, next: d.free}
-		d.free = slot + 1
-		return told, err
+	if err := d.storeEntry(r, e); err != nil {
+		*r = record{generation: r.generation, nextSlot: d.freeList}
+		d.freeList = slot + 1
+		return drains, err
 	}
 	d.setID(r, e.ID)
 	if known {
 		r.flags |= flagUpdate
 	} else {
-		d.ids.put(d.idHash(e.ID), slot, d.slotHash)
-		s.see(slot)
+		d.idIndex.put(d.idHash(e.ID), slot, d.slotIDHash)
+		s.markListed(slot)
 	}
-	r.next = 0
-	if s.last != 0 {
-		d.at(s.last - 1).next = slot + 1
+	r.nextSlot = 0
+	if s.lastStaged != 0 {
+		d.record(s.lastStaged - 1).nextSlot = slot + 1
 	} else {
-		s.first = slot + 1
+		s.firstStaged = slot + 1
 	}
-	s.last = slot + 1
-	return told, nil
+	s.lastStaged = slot + 1
+	return drains, nil
 }
 
-// see notes that the list names a slot. A change of one entry makes one page, whatever else is listed.
-func (s *Stage) see(slot uint32) {
-	if n := slot / pageSize; s.page == nil || s.paged != n {
-		if s.page = s.seen[n]; s.page == nil {
-			s.page = &seenPage{}
-			if s.seen == nil {
-				s.seen = map[uint32]*seenPage{}
+// markListed records that the list names a slot. Bitmaps are created page by page, so that the memory of a short delta
+// does not depend on the number of listed endpoints.
+func (s *Stage) markListed(slot uint32) {
+	if pageIndex := slot / pageRecords; s.currentPage == nil || s.currentPageIndex != pageIndex {
+		if s.currentPage = s.listed[pageIndex]; s.currentPage == nil {
+			s.currentPage = &pageBitmap{}
+			if s.listed == nil {
+				s.listed = map[uint32]*pageBitmap{}
 			}
-			s.seen[n] = s.page
+			s.listed[pageIndex] = s.currentPage
 		}
-		s.paged = n
+		s.currentPageIndex = pageIndex
 	}
-	s.page[slot%pageSize/64] |= 1 << (slot % 64)
+	s.currentPage[slot%pageRecords/64] |= 1 << (slot % 64)
 }
 
-// Abort gives the list up: it changes nothing.
+// Abort discards the list. Drains that have taken effect stay.
 func (s *Stage) Abort() {
-	for s.first != 0 {
-		s.d.mu.Lock()
+	for s.firstStaged != 0 {
+		s.directory.mu.Lock()
 		for range 64 {
-			slot, update, ok := s.pop()
+			slot, update, ok := s.popStaged()
 			if !ok {
 				break
 			}
 			if !update {
-				s.d.ids.remove(s.d.slotHash(slot), slot, s.d.slotHash)
-			} else if old, ok := s.d.find(s.d.idOf(s.d.at(slot))); ok {
-				s.d.settle(old)
+				s.directory.idIndex.remove(s.directory.slotIDHash(slot), slot, s.directory.slotIDHash)
+			} else if existing, ok := s.directory.findID(s.directory.idOf(s.directory.record(slot))); ok {
+				s.directory.clearUpdate(existing)
 			}
-			s.d.release(slot)
+			s.directory.free(slot)
 		}
-		s.d.mu.Unlock()
+		s.directory.mu.Unlock()
 	}
-	<-s.d.busy
+	<-s.directory.listLock
 }
 
-// settle notes that no update of an endpoint waits any more.
-func (d *Directory) settle(slot uint32) {
-	r := d.at(slot)
-	r.flags &^= flagUpdating
-	if Phase(r.flags&phaseMask) == Removed && r.flags&(flagHeld|flagLinked) == 0 {
-		d.forget(slot)
+// clearUpdate records that no update to an endpoint is staged any more.
+func (d *Directory) clearUpdate(slot uint32) {
+	r := d.record(slot)
+	r.flags &^= flagHasUpdate
+	if Phase(r.flags&phaseMask) == Removed && r.flags&(flagHeld|flagInRing) == 0 {
+		d.deleteRecord(slot)
 	}
 }
 
-// pop takes out the first staged record.
-func (s *Stage) pop() (slot uint32, update, ok bool) {
-	if s.first == 0 {
+// popStaged removes the first record from the list of staged records.
+func (s *Stage) popStaged() (slot uint32, update, ok bool) {
+	if s.firstStaged == 0 {
 		return 0, false, false
 	}
-	slot = s.first - 1
-	r := s.d.at(slot)
-	s.first = r.next
+	slot = s.firstStaged - 1
+	r := s.directory.record(slot)
+	s.firstStaged = r.nextSlot
 	return slot, r.flags&flagUpdate != 0, true
 }
 
-// Update is a list that was read to its end, to be put in force.
+// Update is a list that was read to its end and is to be put in force.
 type Update struct {
-	Revision int64
-	Complete bool // what it does not name is gone
-	stage    *Stage
-	swept    uint32 // slots looked at for such as it does not name
-	limit    uint32
-	over     bool
+	Revision      int64
+	Complete      bool // endpoints that the list does not name are removed
+	stage         *Stage
+	sweepPosition uint32 // slots below it have been searched for endpoints that the list does not name
+	sweepEnd      uint32 // number of slots to search
+	applied       bool   // all changes are in force
 }
 
 // Commit ends the list.
 func (s *Stage) Commit(revision int64, complete bool) *Update {
-	s.d.mu.Lock()
-	defer s.d.mu.Unlock()
-	s.d.changing = true
-	return &Update{Revision: revision, Complete: complete, stage: s, limit: s.d.slots}
+	s.directory.mu.Lock()
+	defer s.directory.mu.Unlock()
+	s.directory.applying = true
+	return &Update{Revision: revision, Complete: complete, stage: s, sweepEnd: s.directory.slotCount}
 }
 
-// sweepWords is how many words of seen are looked at in about the time of a change.
-const sweepWords = 4
+// wordsPerChange is the number of bitmap words whose search counts as one change; it takes about as long.
+const wordsPerChange = 4
 
-// Apply puts up to most changes in force and appends them to into. It reports
-// whether all are.
-func (u *Update) Apply(most int, into []Change) (_ []Change, done bool) {
-	d, s := u.stage.d, u.stage
-	if u.over {
+// Apply puts about maxChanges changes in force and appends them to into. It reports whether all changes of the list are
+// in force.
+func (u *Update) Apply(maxChanges int, into []Change) (_ []Change, done bool) {
+	d, s := u.stage.directory, u.stage
+	if u.applied {
 		return into, true
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for ; most > 0; most-- {
-		slot, update, ok := s.pop()
+	for ; maxChanges > 0; maxChanges-- {
+		slot, update, ok := s.popStaged()
 		if !ok {
 			break
 		}
-		if c, ok := d.commit(slot, update); ok {
-			s.see(uint32(c.Now.Number) - 1) // it may have come anew
-			into = append(into, c)
+		if change, ok := d.applyRecord(slot, update); ok {
+			s.markListed(uint32(change.Now.Number) - 1) // a new endpoint may take a slot that was not marked
+			into = append(into, change)
 		}
 	}
-	for u.Complete && u.swept < u.limit && most > 0 {
-		most--
-		for range sweepWords {
+	for u.Complete && u.sweepPosition < u.sweepEnd && maxChanges > 0 {
+		maxChanges--
+		for range wordsPerChange {
 			var word uint64
-			if page := s.seen[u.swept/pageSize]; page != nil {
-				word = page[u.swept%pageSize/64]
+			if page := s.listed[u.sweepPosition/pageRecords]; page != nil {
+				word = page[u.sweepPosition%pageRecords/64]
 			}
-			end := min(u.swept/64*64+64, u.limit)
+			end := min(u.sweepPosition/64*64+64, u.sweepEnd)
 			if word == ^uint64(0) {
-				u.swept = end
+				u.sweepPosition = end
 			}
-			for ; u.swept < end; u.swept++ {
-				if r := d.at(u.swept); word&(1<<(u.swept%64)) == 0 && r.flags&flagLinked != 0 {
-					most--
-					into = append(into, d.leave(u.swept))
+			for ; u.sweepPosition < end; u.sweepPosition++ {
+				if r := d.record(u.sweepPosition); word&(1<<(u.sweepPosition%64)) == 0 && r.flags&flagInRing != 0 {
+					maxChanges--
+					into = append(into, d.removeEndpoint(u.sweepPosition))
 				}
 			}
-			if u.swept >= u.limit {
+			if u.sweepPosition >= u.sweepEnd {
 				break
 			}
 		}
 	}
-	if s.first != 0 || u.Complete && u.swept < u.limit {
+	if s.firstStaged != 0 || u.Complete && u.sweepPosition < u.sweepEnd {
 		return into, false
 	}
-	u.over = true
-	d.changing, d.named = false, d.named || d.endpoints > 0
+	u.applied = true
+	d.applying, d.hasDestinations = false, d.hasDestinations || d.endpoints > 0
 	d.revision = u.Revision
-	<-d.busy
+	<-d.listLock
 	return into, true
 }
 
-// leave takes an endpoint off the list.
-func (d *Directory) leave(slot uint32) Change {
-	c := Change{Was: d.view(slot), Now: d.view(slot)}
-	c.Now.Phase = Removed
-	r := d.at(slot)
+// removeEndpoint removes an endpoint from the list.
+func (d *Directory) removeEndpoint(slot uint32) Change {
+	change := Change{Was: d.endpointAt(slot), Now: d.endpointAt(slot)}
+	change.Now.Phase = Removed
+	r := d.record(slot)
 	d.unlink(slot)
 	r.flags = r.flags&^phaseMask | uint8(Removed)
-	if r.flags&(flagHeld|flagUpdating) == 0 {
-		d.forget(slot)
+	if r.flags&(flagHeld|flagHasUpdate) == 0 {
+		d.deleteRecord(slot)
 	}
-	return c
+	return change
 }
 
-// commit puts a staged record in force; false where it changes nothing.
-func (d *Directory) commit(slot uint32, update bool) (Change, bool) {
-	r := d.at(slot)
+// applyRecord puts a staged record in force. It returns false if that changes nothing.
+func (d *Directory) applyRecord(slot uint32, update bool) (Change, bool) {
+	r := d.record(slot)
 	if !update {
 		r.flags &^= flagStaged
 		d.link(slot)
-		now := d.view(slot)
+		now := d.endpointAt(slot)
 		return Change{Was: Endpoint{Number: now.Number, Dest: now.Dest}, Now: now}, true
 	}
-	old, ok := d.find(d.idOf(r))
-	if !ok { // the same list removed it before
+	existingSlot, ok := d.findID(d.idOf(r))
+	if !ok { // an earlier entry of the same list removed the endpoint
 		if Phase(r.flags&phaseMask) == Removed {
-			d.release(slot)
+			d.free(slot)
 			return Change{}, false
 		}
 		r.flags &^= flagUpdate
-		d.ids.put(d.slotHash(slot), slot, d.slotHash)
-		return d.commit(slot, false)
+		d.idIndex.put(d.slotIDHash(slot), slot, d.slotIDHash)
+		return d.applyRecord(slot, false)
 	}
-	o := d.at(old)
-	linked := o.flags&flagLinked != 0
-	c := Change{Was: d.view(old)}
+	existing := d.record(existingSlot)
+	inRing := existing.flags&flagInRing != 0
+	change := Change{Was: d.endpointAt(existingSlot)}
 	if Phase(r.flags&phaseMask) == Removed {
-		d.release(slot)
-		if c.Now = c.Was; linked {
-			c = d.leave(old)
+		d.free(slot)
+		if change.Now = change.Was; inRing {
+			change = d.removeEndpoint(existingSlot)
 		}
-		d.settle(old)
-		return c, linked
+		d.clearUpdate(existingSlot)
+		return change, inRing
 	}
-	if linked && o.dest != r.dest {
-		d.unlink(old)
-		linked = false
+	if inRing && existing.dest != r.dest {
+		d.unlink(existingSlot)
+		inRing = false
 	}
-	d.dropContent(o)
-	o.ip, o.port, o.dest, o.rate, o.place = r.ip, r.port, r.dest, r.rate, r.place
-	o.flags = o.flags&^(phaseMask|flagTable|flagUpdating) | r.flags&(phaseMask|flagTable)
-	// What the tables hold for it is the old record's now; its id it gives back.
-	r.flags &^= flagTable
-	r.rate, r.place = 0, uint16(d.places.take(d.places.vals[r.place]))
-	d.release(slot)
-	if !linked {
-		d.link(old)
+	d.releaseContent(existing)
+	existing.ip, existing.port, existing.dest, existing.rate, existing.attributesID =
+		r.ip, r.port, r.dest, r.rate, r.attributesID
+	existing.flags = existing.flags&^(phaseMask|flagAddrInTable|flagHasUpdate) | r.flags&(phaseMask|flagAddrInTable)
+	// The existing record has taken over the table entries of the staged one, which releases only that of its id. The
+	// extra reference to the attributes makes up for the one that free releases.
+	r.flags &^= flagAddrInTable
+	r.rate, r.attributesID = 0, uint16(d.attributes.acquire(d.attributes.values[r.attributesID]))
+	d.free(slot)
+	if !inRing {
+		d.link(existingSlot)
 	}
-	c.Now = d.view(old)
-	return c, true
+	change.Now = d.endpointAt(existingSlot)
+	return change, true
 }
 
-// Drained appends up to most of the endpoints that a list being read says to
-// drain, or removes; it reports whether there are no more.
-func (d *Directory) Drained(most int, into []Change) (_ []Change, done bool) {
+// TakeDrained takes up to maxChanges of the endpoints that a list marked as draining while it was read, and appends the
+// changes to into. It reports whether there are no more.
+func (d *Directory) TakeDrained(maxChanges int, into []Change) (_ []Change, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := min(most, len(d.drained))
-	for _, slot := range d.drained[:n] {
-		if r := d.at(slot); Phase(r.flags&phaseMask) == Draining {
-			now := d.view(slot)
+	n := min(maxChanges, len(d.drainedSlots))
+	for _, slot := range d.drainedSlots[:n] {
+		if r := d.record(slot); Phase(r.flags&phaseMask) == Draining {
+			now := d.endpointAt(slot)
 			was := now
 			was.Phase = Up
 			into = append(into, Change{was, now})
 		}
 	}
-	if d.drained = d.drained[n:]; len(d.drained) == 0 {
-		d.drained = nil
+	if d.drainedSlots = d.drainedSlots[n:]; len(d.drainedSlots) == 0 {
+		d.drainedSlots = nil
 	}
-	return into, d.drained == nil
+	return into, d.drainedSlots == nil
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -149,7 +149,7 @@
 		return err
 	})
 	if err == nil {
-		err = membership.Ended(d)
+		err = membership.CheckEnd(d)
 	}
 	return err
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	h, err := membership.ReadIn(d, func(_ *membership.Header, e *membership.Entry) error {
+	h, err := membership.ReadEmbedded(d, func(_ *membership.Header, e *membership.Entry) error {
 		if x.full == nil {
 			_, x.full = stage.Entry(e, false)
 		}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -355,7 +355,7 @@
 	}
 	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
 	defer silence.Stop()
-	header, err := membership.Read(membership.Paced(request.resp.Body, func() { silence.Reset(d.silenceTimeout) }),
+	header, err := membership.Read(membership.WithProgress(request.resp.Body, func() { silence.Reset(d.silenceTimeout) }),
 		false, forwardEntries(receiver, revision))
 	if cause := context.Cause(request.ctx); err != nil && cause != nil {
 		err = cause
@@ -393,7 +393,7 @@
 	d.watchOpenedAt = d.clock.Now()
 	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
 	defer silence.Stop()
-	lines := membership.NewLines(request.resp.Body, func() {
+	lines := membership.NewWatchReader(request.resp.Body, func() {
 		silence.Reset(d.silenceTimeout)
 		d.knownBy = d.clock.Now().Add(knownAfterSilence)
 		if !received {
@@ -429,7 +429,7 @@
 			continue
 		}
 		receiver.Abort()
-		if torn := lines.Torn(); torn == nil {
+		if torn := lines.StreamErr(); torn == nil {
 			return revision, false, received, fmt.Errorf("discovery: %w", err)
 		}
 	}
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -33,5 +33,5 @@
 
 // collectLists returns a beginList that collects each list and passes it to deliver once it is complete.
 func collectLists(deliver func(*List)) beginList {
-	return func(context.Context) (membership.Receiver, error) { return &membership.Collector{News: deliver}, nil }
+	return func(context.Context) (membership.Receiver, error) { return &membership.Collector{OnList: deliver}, nil }
 }
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -249,7 +249,7 @@
 // the list by now. The wait that its answer tells binds no endpoint of destination 0.
 func TestWaitOfUnlistedEndpoint(t *testing.T) {
 	r := heirRelay(t)
-	listed := r.endpoint(decide.Endpoint(r.directory.Of(0, nil)[0].Number))
+	listed := r.endpoint(decide.Endpoint(r.directory.Endpoints(0, nil)[0].Number))
 	takeEstate(r, &handoverState{Names: map[decide.Endpoint]string{9: "gone"}, Calls: []outCall{{ID: "m-1", Endpoint: 9, Call: 1}}})
 	if r.calls != 1 {
 		t.Fatalf("%d calls are out, want 1", r.calls)
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -83,7 +83,7 @@
 		t.Errorf("%d endpoints kept, %d listed, %d bytes", most, listed, r.directory.Size())
 	}
 	for dest := range 6 {
-		if r.directory.Named(dest) != (dest < 3) {
+		if r.directory.Knows(dest) != (dest < 3) {
 			t.Errorf("destination %d is named: %v", dest, dest >= 3)
 		}
 	}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -342,7 +342,7 @@
 				e.DoubtIn-- // a zone that is no more, and that of no endpoint
 			}
 		}
-		r.directory.Name(rec.Dest) // once, or it would not have been taken on
+		r.directory.AddDestination(rec.Dest) // once, or it would not have been taken on
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 			e.Tenant = t
 		}
@@ -521,7 +521,7 @@
 	case r.past.reply(q.record.ID) != "": // it was ours: sent once more it could run again
 		q.sendReply(r.past.reply(q.record.ID))
 		return
-	case !r.directory.Named(q.record.Dest):
+	case !r.directory.Knows(q.record.Dest):
 		// It would be held for nothing. One whose endpoints are only gone for now
 		// has been named.
 		q.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", q.record.Dest)))
@@ -936,7 +936,7 @@
 	if bind(told); told.separateRoute || told.num >= unlistedEndpointBit { // no list says whose the latter is
 		return
 	}
-	r.view = r.directory.Of(told.dest, r.view[:0])
+	r.view = r.directory.Endpoints(told.dest, r.view[:0])
 	for i := range r.view {
 		if ep := r.endpoint(decide.Endpoint(r.view[i].Number)); ep != told && !ep.separateRoute {
 			bind(ep)
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -83,7 +83,7 @@
 
 // Endpoints lists the endpoints of a destination for the policy.
 func (r *Relay) Endpoints(dest int, into []decide.Entry) []decide.Entry {
-	r.view = r.directory.Of(dest, r.view[:0])
+	r.view = r.directory.Endpoints(dest, r.view[:0])
 	for i := range r.view {
 		into = append(into, r.policyEntry(&r.view[i]))
 	}
@@ -101,7 +101,7 @@
 	default:
 		return entry
 	}
-	p := r.directory.Place(e.Place)
+	p := r.directory.Attributes(e.AttributesID)
 	entry.Zone, entry.Kind = indexOf(r.cfg.zones, p.Locality), indexOf(r.cfg.kinds, p.Flavor)
 	return entry
 }
@@ -133,7 +133,7 @@
 func (r *Relay) applyDrains() {
 	r.drains.Store(false)
 	for done := false; !done; {
-		r.changes, done = r.directory.Drained(changesPerStep, r.changes[:0])
+		r.changes, done = r.directory.TakeDrained(changesPerStep, r.changes[:0])
 		r.publishChanges()
 	}
 }
@@ -195,7 +195,7 @@
 		r.withdrawEndpoint(ep)
 		ep.hostPort, ep.dest = hostPort, listed.Dest
 	}
-	p := r.directory.Place(listed.Place)
+	p := r.directory.Attributes(listed.AttributesID)
 	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), zoneNameMost)], 1, false
 	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[i]
