--- a/internal/membership/collect.go
+++ b/internal/membership/collect.go
@@ -1,7 +1,7 @@
 package membership
 
-// Collector is a Receiver that collects the members of a list in memory and passes the list to OnList at its end. It is
-// meant for short lists.
+// Collector is a Receiver that collects the members of a list in memory and passes the list to OnList at its end. It
+// is meant for short lists.
 type Collector struct {
 	List
 	OnList func(*List)
--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -11,7 +11,8 @@
 )
 
 // Number identifies an endpoint of a directory. It holds the endpoint's slot plus one and, above it, the generation of
-// the slot, which counts its reuses in 16 bits. It is never 0, and later endpoints in the same slot have other numbers.
+// the slot, which counts its reuses in 16 bits. It is never 0, and later endpoints in the same slot have other
+// numbers.
 type Number uint64
 
 // Endpoint is the description of an endpoint in a directory.
@@ -205,8 +206,8 @@
 	d.attributes.release(uint32(r.attributesID))
 }
 
-// tableTextBytes is the approximate memory that a string in a table takes. It is counted for each use of the string, so
-// the total is too high if several records share one.
+// tableTextBytes is the approximate memory that a string in a table takes. It is counted for each use of the string,
+// so the total is too high if several records share one.
 func tableTextBytes(s string) int64 { return int64(len(s)) + 48 }
 
 // storeEntry writes an entry into a record that holds no table entries.
--- a/internal/membership/fuzz_read_test.go
+++ b/internal/membership/fuzz_read_test.go
@@ -16,7 +16,7 @@
 	"unicode/utf8"
 )
 
-// listSeeds are texts of lists as discovery writes them, and some that it must not.
+// listSeeds are valid and malformed lists.
 var listSeeds = []string{
 	`{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"m2","cell":3,"phase":"up","size":1.5,"up_since_ms":0},` +
 		`{"id":"an-id-longer-than-twelve","host_port":"[::1]:80","locality":"b","flavor":"m","cell":4294967295,"phase":"draining","size":0.123456789}]}`,
@@ -28,36 +28,37 @@
 	`{"members":null}`, `{"members":[{}]}`, `{"members":[]}{`, `{"members":[{"id":"s-1"`, "", "null", "[]",
 }
 
-// inForce is all that a directory tells of its list.
-type inForce struct {
+// directoryState is what the exported methods of a directory return about its list.
+type directoryState struct {
 	revision                int64
 	endpoints, destinations int
 	members                 []Member
 }
 
-// tell reads a directory by its public methods; dests are the destinations to look at.
-func tell(d *Directory, dests []int) (list inForce) {
-	list.revision = d.Revision()
-	list.endpoints, list.destinations = d.Len()
+// stateOf reads the state of a directory, with the members of the destinations dests.
+func stateOf(d *Directory, dests []int) (state directoryState) {
+	state.revision = d.Revision()
+	state.endpoints, state.destinations = d.Len()
 	for _, dest := range dests {
-		for _, e := range d.Endpoints(dest, nil) {
-			id, hostPort := d.Text(e.Number)
-			place := d.Attributes(e.AttributesID)
-			list.members = append(list.members, Member{id, hostPort, place.Locality, place.Flavor, e.Dest, e.Phase.String(), e.Rate})
+		for _, endpoint := range d.Endpoints(dest, nil) {
+			id, hostPort := d.Text(endpoint.Number)
+			attributes := d.Attributes(endpoint.AttributesID)
+			state.members = append(state.members, Member{id, hostPort, attributes.Locality, attributes.Flavor, endpoint.Dest,
+				endpoint.Phase.String(), endpoint.Rate})
 		}
 	}
-	return list
+	return state
 }
 
-// standing is the list that is in force before one is read.
-var standing = List{Revision: 7, Complete: true, Members: []Member{
+// initialList is in force before a test reads a list.
+var initialList = List{Revision: 7, Complete: true, Members: []Member{
 	{"s-1", "10.0.0.9:9", "a", "m2", 3, "up", 2},
 	{"an-id-longer-than-twelve", "name:9", "c", "m", 1, "draining", 0.3},
 	{"s-9", "10.0.0.9:8", "a", "m", 3, "up", 1},
 }}
 
-// destinations lists those of members, each once.
-func destinations(lists ...[]Member) (dests []int) {
+// destinationsOf returns the destinations of members, sorted and each once.
+func destinationsOf(lists ...[]Member) (dests []int) {
 	for _, members := range lists {
 		for i := range members {
 			dests = append(dests, members[i].Cell)
@@ -67,7 +68,7 @@
 	return slices.Compact(dests)
 }
 
-// readInto reads a list as a relay does: staged, and put in force or given up.
+// readInto reads a list as a relay does: it stages the list, and puts it in force or aborts it.
 func readInto(t *testing.T, d *Directory, in io.Reader) (list List, err error) {
 	t.Helper()
 	stage, err := d.Stage(context.Background())
@@ -83,40 +84,41 @@
 		stage.Abort()
 		return list, err
 	}
-	apply(stage.Commit(header.Revision, header.Complete), 3)
+	applyUpdate(stage.Commit(header.Revision, header.Complete), 3)
 	list.Revision, list.Complete = header.Revision, header.Complete
 	return list, nil
 }
 
 func memberOf(e *Entry) Member {
-	return Member{string(e.ID), string(e.HostPort), string(e.Locality), string(e.Flavor), int(e.Dest), e.Phase.String(), e.Rate}
+	return Member{string(e.ID), string(e.HostPort), string(e.Locality), string(e.Flavor), int(e.Dest),
+		e.Phase.String(), e.Rate}
 }
 
-// FuzzRead: a list that is read is one by encoding/json as well, says the same there, and
-// changes a directory as it does a plain model of one. A list that cannot be read
-// changes nothing, and leaves nothing behind. How the bytes come makes no difference.
+// FuzzRead checks that a list that Read accepts is valid for encoding/json too, with the same content, and changes a
+// directory in the same way as the model. A list that Read rejects must leave the directory and its tables unchanged.
+// The result must not depend on how the input is split into reads.
 func FuzzRead(f *testing.F) {
 	for _, text := range listSeeds {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := NewDirectory(0)
-		take(t, d, standing, 3)
-		before := sizesOf(d)
+		applyList(t, d, initialList, 3)
+		before := tableSizesOf(d)
 		read, err := readInto(t, d, bytes.NewReader(text))
-		dests := destinations(standing.Members, read.Members)
-		slow, slowErr := readInto(t, NewDirectory(0), iotest.OneByteReader(bytes.NewReader(text)))
-		if !reflect.DeepEqual(read, slow) || (err == nil) != (slowErr == nil) {
-			t.Errorf("read at once: %+v, %v; byte by byte: %+v, %v", read, err, slow, slowErr)
+		dests := destinationsOf(initialList.Members, read.Members)
+		bytewise, bytewiseErr := readInto(t, NewDirectory(0), iotest.OneByteReader(bytes.NewReader(text)))
+		if !reflect.DeepEqual(read, bytewise) || (err == nil) != (bytewiseErr == nil) {
+			t.Errorf("read at once: got %+v, error %v; byte by byte: got %+v, error %v", read, err, bytewise, bytewiseErr)
 		}
 		if err != nil {
 			unchanged := NewDirectory(0)
-			take(t, unchanged, standing, 3)
-			if got, want := tell(d, dests), tell(unchanged, dests); !reflect.DeepEqual(got, want) {
-				t.Errorf("a list that cannot be read (%v) changes\n%+v to\n%+v", err, want, got)
+			applyList(t, unchanged, initialList, 3)
+			if got, want := stateOf(d, dests), stateOf(unchanged, dests); !reflect.DeepEqual(got, want) {
+				t.Errorf("a rejected list (%v) changes the directory from\n%+v to\n%+v", err, want, got)
 			}
-			if left := sizesOf(d); left != before {
-				t.Errorf("a list that cannot be read leaves %+v, before %+v", left, before)
+			if left := tableSizesOf(d); left != before {
+				t.Errorf("table sizes after a rejected list: got %+v, want %+v", left, before)
 			}
 			checkEmptied(t, d)
 			return
@@ -128,75 +130,77 @@
 	})
 }
 
-// tableSizes counts what the tables of a directory keep.
+// tableSizes holds the numbers of values in the tables of a directory.
 type tableSizes struct {
 	long, addresses, rates, places int
 	bytes                          int64
 }
 
-func sizesOf(d *Directory) tableSizes {
-	return tableSizes{len(d.longIDs.indexes), len(d.addrs.indexes), len(d.rates.indexes), len(d.attributes.indexes), d.tableBytes}
+func tableSizesOf(d *Directory) tableSizes {
+	return tableSizes{len(d.longIDs.indexes), len(d.addrs.indexes), len(d.rates.indexes),
+		len(d.attributes.indexes), d.tableBytes}
 }
 
-// checkEmptied: a whole list without an entry leaves nothing of what a directory held.
+// checkEmptied checks that an empty full list removes everything from the directory.
 func checkEmptied(t *testing.T, d *Directory) {
 	t.Helper()
-	take(t, d, List{Complete: true}, 3)
-	if endpoints, destinations := d.Len(); endpoints != 0 || destinations != 0 || sizesOf(d) != (tableSizes{}) {
-		t.Errorf("%d endpoints, %d destinations and %+v are left of no list", endpoints, destinations, sizesOf(d))
+	applyList(t, d, List{Complete: true}, 3)
+	if endpoints, destinations := d.Len(); endpoints != 0 || destinations != 0 || tableSizesOf(d) != (tableSizes{}) {
+		t.Errorf("after an empty full list: got %d endpoints, %d destinations and tables %+v, want none",
+			endpoints, destinations, tableSizesOf(d))
 	}
 	for i := range shardCount {
 		if ids, dests := d.idIndex.shards[i].used, d.destIndex.shards[i].used; ids != 0 || dests != 0 {
-			t.Errorf("shard %d keeps %d ids and %d destinations", i, ids, dests)
+			t.Errorf("shard %d of the empty directory holds %d ids and %d destinations, want none", i, ids, dests)
 		}
 	}
 }
 
-// checkMembers: no entry is handed on that a relay could not use.
+// checkMembers checks that all entries passed on are valid.
 func checkMembers(t *testing.T, list *List) {
 	t.Helper()
 	for i := range list.Members {
 		if err := list.Members[i].Validate(); err != nil {
-			t.Errorf("taken: %+v, %v", list.Members[i], err)
+			t.Errorf("invalid entry passed on: %+v, %v", list.Members[i], err)
 		}
 	}
 }
 
-// checkModel: the directory holds what a plain model of it does.
+// checkModel checks that the list changes the directory in the same way as the model.
 func checkModel(t *testing.T, d *Directory, list *List, dests []int) {
 	t.Helper()
-	plain := &model{map[string]Member{}, map[int][]string{}, map[int]bool{}, map[int]bool{}}
-	plain.take(standing)
-	plain.take(*list)
+	reference := &model{map[string]Member{}, map[int][]string{}, map[int]bool{}, map[int]bool{}}
+	reference.apply(initialList)
+	reference.apply(*list)
 	var want []Member
-	members := plain.members()
+	members := reference.membersByDest()
 	for _, dest := range dests {
 		want = append(want, members[dest]...)
 	}
-	got := tell(d, dests)
+	got := stateOf(d, dests)
 	if !reflect.DeepEqual(got.members, want) || got.endpoints != len(want) || got.revision != list.Revision {
-		t.Errorf("the list %+v makes\n%+v, want\n%+v", *list, got, want)
+		t.Errorf("state after the list %+v: got\n%+v, want members\n%+v", *list, got, want)
 	}
 }
 
-// checkReference compares with encoding/json.
+// checkReference compares the list with the result of encoding/json.
 func checkReference(t *testing.T, text []byte, list *List) {
 	t.Helper()
 	if !utf8.Valid(text) || bytes.Contains(bytes.ToLower(text), []byte(`\ud`)) {
-		return // each has its own way with texts that are none
+		return // the decoders differ in how they treat invalid UTF-8 and surrogate escapes
 	}
 	if !json.Valid(text) {
-		t.Errorf("read as %+v, and it is no JSON: %.300q", *list, text)
+		t.Errorf("Read accepted invalid JSON as %+v: %.300q", *list, text)
 		return
 	}
 	want := referenceList(t, text)
 	if want.Revision != list.Revision || want.Complete != list.Complete || !slices.Equal(want.Members, list.Members) {
-		t.Errorf("read as\n%+v, by encoding/json\n%+v", *list, want)
+		t.Errorf("got list\n%+v, want as from encoding/json\n%+v", *list, want)
 	}
 }
 
-// referenceList reads a list by encoding/json's tokens. As with its structs, the last
-// value of a key counts that is not null; unlike there, case matters.
+// referenceList decodes a list with the tokens of encoding/json. As in decoding to a struct, the last value of a key
+// that is not null counts; unlike there, keys are case-sensitive.
 func referenceList(t *testing.T, text []byte) (list List) {
 	t.Helper()
 	eachKey(t, text, func(key string, value json.RawMessage) {
@@ -228,12 +232,12 @@
 	return member
 }
 
-// eachKey calls do for each key of an object, in order, repeated ones too.
-func eachKey(t *testing.T, text []byte, do func(key string, value json.RawMessage)) {
+// eachKey calls handle for each key of an object in order, including repeated keys.
+func eachKey(t *testing.T, text []byte, handle func(key string, value json.RawMessage)) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if token, err := decoder.Token(); token != json.Delim('{') {
-		t.Errorf("no object: %v, %v", token, err)
+		t.Errorf("encoding/json: got token %v, error %v; want the start of an object", token, err)
 		return
 	}
 	for decoder.More() {
@@ -247,7 +251,7 @@
 			t.Errorf("encoding/json: %v", err)
 			return
 		}
-		do(key.(string), value)
+		handle(key.(string), value)
 	}
 }
 
@@ -258,41 +262,41 @@
 	}
 }
 
-// watchRead is what a watch brought: the revisions of its lists and how it ended.
-type watchRead struct {
+// watchResult holds the lists and the number of empty lines that were read from a watch, and how it ended.
+type watchResult struct {
 	lists   []List
 	empties int
 	torn    bool
 	broken  bool
 }
 
-// followWatch reads a watch into a directory as discovery's client does.
-func followWatch(t *testing.T, d *Directory, in io.Reader) (watch watchRead, going int) {
+// followWatch reads a watch into a directory as the discovery client does.
+func followWatch(t *testing.T, d *Directory, in io.Reader) (watch watchResult, progressCalls int) {
 	t.Helper()
-	lines := NewWatchReader(in, func() { going++ })
+	reader := NewWatchReader(in, func() { progressCalls++ })
 	for {
-		begins, err := lines.Next()
+		begins, err := reader.Next()
 		if err != nil {
-			return watch, going
+			return watch, progressCalls
 		}
 		if !begins {
 			watch.empties++
 			continue
 		}
-		list, err := readInto(t, d, lines)
+		list, err := readInto(t, d, reader)
 		if err != nil {
-			watch.torn = lines.StreamErr() != nil
+			watch.torn = reader.StreamErr() != nil
 			watch.broken = !watch.torn
-			return watch, going
+			return watch, progressCalls
 		}
 		watch.lists = append(watch.lists, list)
 	}
 }
 
-// FuzzLines: a watch brings the same lists however its bytes come, changes a directory by
-// those alone that were read whole, and goes on behind each. What is cut off at its
-// end, or is made longer by an empty line, brings no other lists before that.
-func FuzzLines(f *testing.F) {
+// FuzzWatchReader checks that a watch yields the same lists however its bytes are split into reads, that only lists
+// read to their end change the directory, and that reading continues after each of them. A watch that is truncated
+// must yield the same lists up to that point.
+func FuzzWatchReader(f *testing.F) {
 	for _, text := range listSeeds {
 		f.Add([]byte("\n"+text+"\n \r\n"+text+"\n"), uint8(9))
 	}
@@ -301,89 +305,90 @@
 	f.Add([]byte("{ \n}\n"), uint8(0))
 	f.Fuzz(func(t *testing.T, text []byte, cut uint8) {
 		d := NewDirectory(0)
-		take(t, d, standing, 3)
-		watch, going := followWatch(t, d, bytes.NewReader(text))
-		if lines := bytes.Count(text, []byte("\n")); going > lines+1 {
-			t.Errorf("%d lines say %d times that the watch goes on", lines, going)
+		applyList(t, d, initialList, 3)
+		watch, progressCalls := followWatch(t, d, bytes.NewReader(text))
+		if lines := bytes.Count(text, []byte("\n")); progressCalls > lines+1 {
+			t.Errorf("%d lines: got %d calls of onProgress, want at most one per line and one more", lines, progressCalls)
 		}
-		slow := NewDirectory(0)
-		take(t, slow, standing, 3)
-		again, _ := followWatch(t, slow, bufio.NewReaderSize(iotest.HalfReader(bytes.NewReader(text)), 16))
-		if !reflect.DeepEqual(watch, again) {
-			t.Errorf("at once:\n%+v, in pieces:\n%+v", watch, again)
+		inPieces := NewDirectory(0)
+		applyList(t, inPieces, initialList, 3)
+		watchInPieces, _ := followWatch(t, inPieces, bufio.NewReaderSize(iotest.HalfReader(bytes.NewReader(text)), 16))
+		if !reflect.DeepEqual(watch, watchInPieces) {
+			t.Errorf("read at once: got\n%+v, in pieces: got\n%+v", watch, watchInPieces)
 		}
-		var all []Member
+		var members []Member
 		for i := range watch.lists {
-			all = append(all, watch.lists[i].Members...)
+			members = append(members, watch.lists[i].Members...)
 		}
-		checkWatchModel(t, d, watch.lists, destinations(standing.Members, all))
+		checkWatchModel(t, d, watch.lists, destinationsOf(initialList.Members, members))
 		checkCutWatch(t, text, int(cut), &watch)
 	})
 }
 
-// checkWatchModel: the directory holds what the lists that were read make of a plain model.
+// checkWatchModel checks that the lists of a watch change the directory in the same way as the model.
 func checkWatchModel(t *testing.T, d *Directory, lists []List, dests []int) {
 	t.Helper()
-	plain := &model{map[string]Member{}, map[int][]string{}, map[int]bool{}, map[int]bool{}}
-	plain.take(standing)
-	revision := standing.Revision
+	reference := &model{map[string]Member{}, map[int][]string{}, map[int]bool{}, map[int]bool{}}
+	reference.apply(initialList)
+	revision := initialList.Revision
 	for i := range lists {
-		plain.take(lists[i])
+		reference.apply(lists[i])
 		revision = lists[i].Revision
 	}
 	var want []Member
-	members := plain.members()
+	members := reference.membersByDest()
 	for _, dest := range dests {
 		want = append(want, members[dest]...)
 	}
-	if got := tell(d, dests); !reflect.DeepEqual(got.members, want) || got.revision != revision {
-		t.Errorf("lists %+v make\n%+v, want\n%+v", lists, got, want)
+	if got := stateOf(d, dests); !reflect.DeepEqual(got.members, want) || got.revision != revision {
+		t.Errorf("state after the lists %+v: got\n%+v, want members\n%+v", lists, got, want)
 	}
 }
 
-// checkCutWatch: a watch that breaks some bytes earlier has brought the same lists so far.
-func checkCutWatch(t *testing.T, text []byte, cut int, whole *watchRead) {
+// checkCutWatch checks that a watch without its last cut bytes yields a prefix of the lists of the whole watch.
+func checkCutWatch(t *testing.T, text []byte, cut int, whole *watchResult) {
 	t.Helper()
 	if cut > len(text) {
 		return
 	}
 	d := NewDirectory(0)
-	take(t, d, standing, 3)
-	short, _ := followWatch(t, d, bytes.NewReader(text[:len(text)-cut]))
-	if len(short.lists) > len(whole.lists) || !reflect.DeepEqual(short.lists, whole.lists[:len(short.lists)]) &&
-		len(short.lists) > 0 {
-		t.Errorf("cut by %d bytes it brings\n%+v, whole\n%+v", cut, short.lists, whole.lists)
+	applyList(t, d, initialList, 3)
+	truncated, _ := followWatch(t, d, bytes.NewReader(text[:len(text)-cut]))
+	if len(truncated.lists) > len(whole.lists) ||
+		!reflect.DeepEqual(truncated.lists, whole.lists[:len(truncated.lists)]) &&
+			len(truncated.lists) > 0 {
+		t.Errorf("watch without its last %d bytes: got lists\n%+v, want a prefix of\n%+v", cut, truncated.lists, whole.lists)
 	}
 }
 
-// TestListTakesLittleMemory: what is read past costs little memory however long it is.
-func TestListTakesLittleMemory(t *testing.T) {
+// TestSkippedInputTakesLittleMemory checks that input that Read skips needs little memory however long it is.
+func TestSkippedInputTakesLittleMemory(t *testing.T) {
 	const length = 16 << 20
 	spaces := strings.Repeat(" ", 1<<10)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		part string
-		most uint64 // bytes allocated, of which nothing is kept
+		most uint64 // bytes allocated in total, not retained
 	}{
 		"spaces":           {spaces, 1 << 20},
 		"unknown texts":    {fmt.Sprintf(`"x":"%s",`, spaces), 1 << 20},
 		"unknown, in many": {`"x":{"a":[1,2,3]},`, length},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in := io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(x.part, length/len(x.part))),
+			in := io.MultiReader(strings.NewReader("{"), strings.NewReader(strings.Repeat(test.part, length/len(test.part))),
 				strings.NewReader(`"revision":3,"members":[]}`+"\n"))
-			lines := NewWatchReader(in, func() {})
-			if begins, err := lines.Next(); !begins {
-				t.Fatal("no list", err)
+			reader := NewWatchReader(in, func() {})
+			if begins, err := reader.Next(); !begins {
+				t.Fatal("no list begins", err)
 			}
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			header, err := Read(lines, false, func(*Header, *Entry) error { return nil })
+			header, err := Read(reader, false, func(*Header, *Entry) error { return nil })
 			runtime.ReadMemStats(&after)
-			if spent := after.TotalAlloc - before.TotalAlloc; spent > x.most {
-				t.Errorf("%d bytes of memory for a list without an entry, want at most %d", spent, x.most)
+			if allocated := after.TotalAlloc - before.TotalAlloc; allocated > test.most {
+				t.Errorf("a list without entries allocated %d bytes, want at most %d", allocated, test.most)
 			}
 			if err != nil || header.Revision != 3 {
-				t.Errorf("%+v, %v", header, err)
+				t.Errorf("got header %+v, error %v; want revision 3", header, err)
 			}
 		})
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,354 +19,362 @@
 	"testing/iotest"
 )
 
-// take reads a list into a directory and puts it in force in steps of so many changes.
-func take(t testing.TB, d *Directory, l List, most int) []Change {
+// applyList stages a list and puts it in force in steps of maxChanges changes.
+func applyList(t testing.TB, d *Directory, list List, maxChanges int) []Change {
 	t.Helper()
-	s, err := d.Stage(context.Background())
+	stage, err := d.Stage(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range l.Members {
-		if _, err := s.Entry(l.Members[i].Entry(), false); err != nil {
+	for i := range list.Members {
+		if _, err := stage.Entry(list.Members[i].Entry(), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return apply(s.Commit(l.Revision, l.Complete), most)
+	return applyUpdate(stage.Commit(list.Revision, list.Complete), maxChanges)
 }
 
-func apply(u *Update, most int) (all []Change) {
+func applyUpdate(update *Update, maxChanges int) (changes []Change) {
 	for done := false; !done; {
-		all, done = u.Apply(most, all)
+		changes, done = update.Apply(maxChanges, changes)
 	}
-	return all
+	return changes
 }
 
-// members tells what a directory holds, by destination.
-func (d *Directory) members(dests int) map[int][]Member {
+// membersByDest returns the members of a directory by destination.
+func (d *Directory) membersByDest(dests int) map[int][]Member {
 	got := map[int][]Member{}
 	for dest := range dests {
-		for _, e := range d.Endpoints(dest, nil) {
-			id, addr := d.Text(e.Number)
-			p := d.Attributes(e.AttributesID)
-			got[dest] = append(got[dest], Member{id, addr, p.Locality, p.Flavor, e.Dest, e.Phase.String(), e.Rate})
+		for _, endpoint := range d.Endpoints(dest, nil) {
+			id, addr := d.Text(endpoint.Number)
+			attributes := d.Attributes(endpoint.AttributesID)
+			got[dest] = append(got[dest], Member{id, addr, attributes.Locality, attributes.Flavor, endpoint.Dest,
+				endpoint.Phase.String(), endpoint.Rate})
 		}
 	}
 	return got
 }
 
-// model is a directory as plain as can be.
+// model is a simple reference implementation of a directory.
 type model struct {
-	at    map[string]Member
-	order map[int][]string
-	ever  map[int]bool // named by any entry
-	named map[int]bool // and at the end of a list
+	byID       map[string]Member
+	order      map[int][]string
+	everNamed  map[int]bool // destinations that an entry has named
+	namedAtEnd map[int]bool // destinations that had an endpoint after a whole list
 }
 
-func (m *model) leave(id string) {
-	if old, ok := m.at[id]; ok {
-		delete(m.at, id)
+func (m *model) remove(id string) {
+	if old, ok := m.byID[id]; ok {
+		delete(m.byID, id)
 		m.order[old.Cell] = slices.DeleteFunc(m.order[old.Cell], func(x string) bool { return x == id })
 	}
 }
 
-func (m *model) take(l List) {
-	seen := map[string]bool{}
-	for _, x := range l.Members {
-		seen[x.ID] = true
-		old, ok := m.at[x.ID]
-		if x.Phase == "removed" {
-			m.leave(x.ID)
+func (m *model) apply(list List) {
+	listed := map[string]bool{}
+	for _, member := range list.Members {
+		listed[member.ID] = true
+		old, ok := m.byID[member.ID]
+		if member.Phase == "removed" {
+			m.remove(member.ID)
 			continue
 		}
-		if ok && old.Cell != x.Cell {
-			m.leave(x.ID)
+		if ok && old.Cell != member.Cell {
+			m.remove(member.ID)
 			ok = false
 		}
-		if m.at[x.ID] = x; !ok {
-			m.order[x.Cell] = append(m.order[x.Cell], x.ID)
+		if m.byID[member.ID] = member; !ok {
+			m.order[member.Cell] = append(m.order[member.Cell], member.ID)
 		}
-		m.ever[x.Cell] = true
+		m.everNamed[member.Cell] = true
 	}
-	if l.Complete {
-		for id := range maps.Clone(m.at) {
-			if !seen[id] {
-				m.leave(id)
+	if list.Complete {
+		for id := range maps.Clone(m.byID) {
+			if !listed[id] {
+				m.remove(id)
 			}
 		}
 	}
-	for _, x := range m.at {
-		m.named[x.Cell] = true
+	for _, member := range m.byID {
+		m.namedAtEnd[member.Cell] = true
 	}
 }
 
-func (m *model) members() map[int][]Member {
+func (m *model) membersByDest() map[int][]Member {
 	all := map[int][]Member{}
 	for dest, ids := range m.order {
 		for _, id := range ids {
-			all[dest] = append(all[dest], m.at[id])
+			all[dest] = append(all[dest], m.byID[id])
 		}
 	}
 	return all
 }
 
-// TestDirectoryAgainstModel plays lists, changes and lists that are given up, with
-// long and short ids, moves, repeats and holds, against a plain model.
+// TestDirectoryAgainstModel compares a directory with the model over random full lists, deltas and aborted lists. They
+// have long and short ids, repeated entries and endpoints that change their destination, and some endpoints are held.
 func TestDirectoryAgainstModel(t *testing.T) {
 	const dests = 40
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		d, m := NewDirectory(0), &model{map[string]Member{}, map[int][]string{}, map[int]bool{}, map[int]bool{}}
-		draw := func() List {
-			l := List{Revision: rng.Int64N(1000), Complete: rng.IntN(4) == 0}
+		randomList := func() List {
+			list := List{Revision: rng.Int64N(1000), Complete: rng.IntN(4) == 0}
 			for range rng.IntN(120) {
 				n := rng.IntN(150)
-				x := Member{ID: fmt.Sprintf("s-%08x", n), HostPort: fmt.Sprintf("10.0.%d.%d:%d", n%3, n, 6379+rng.IntN(2)),
-					Locality: string(rune('a' + n%3)), Flavor: "m", Cell: (n + rng.IntN(10)/9) % dests, Phase: "up", Size: float64(rng.IntN(50)) / 10}
+				member := Member{ID: fmt.Sprintf("s-%08x", n), HostPort: fmt.Sprintf("10.0.%d.%d:%d", n%3, n, 6379+rng.IntN(2)),
+					Locality: string(rune('a' + n%3)), Flavor: "m", Cell: (n + rng.IntN(10)/9) % dests, Phase: "up",
+					Size: float64(rng.IntN(50)) / 10}
 				switch rng.IntN(8) {
 				case 0:
-					x.Phase = "draining"
+					member.Phase = "draining"
 				case 1:
-					x.Phase = "removed"
+					member.Phase = "removed"
 				case 2:
-					x.HostPort = fmt.Sprintf("[::1]:%d", 7000+n)
+					member.HostPort = fmt.Sprintf("[::1]:%d", 7000+n)
 				case 3:
-					x.Size = rng.Float64()
+					member.Size = rng.Float64()
 				}
 				if n%7 == 0 {
-					x.ID = strings.Repeat("long-", 5) + x.ID
+					member.ID = strings.Repeat("long-", 5) + member.ID
 				}
-				l.Members = append(l.Members, x)
+				list.Members = append(list.Members, member)
 			}
-			return l
+			return list
 		}
 		held := map[Number]string{}
 		for step := range 200 {
-			l := draw()
+			list := randomList()
 			if rng.IntN(5) == 0 {
-				s, _ := d.Stage(context.Background())
-				for i := range l.Members {
-					s.Entry(l.Members[i].Entry(), false)
+				stage, _ := d.Stage(context.Background())
+				for i := range list.Members {
+					stage.Entry(list.Members[i].Entry(), false)
 				}
-				s.Abort()
+				stage.Abort()
 			} else {
-				changes := take(t, d, l, 1+rng.IntN(30))
-				m.take(l)
-				for _, c := range changes {
-					if c.Was.Number != c.Now.Number {
-						t.Fatalf("seed %d step %d: %+v", seed, step, c)
+				changes := applyList(t, d, list, 1+rng.IntN(30))
+				m.apply(list)
+				for _, change := range changes {
+					if change.Was.Number != change.Now.Number {
+						t.Fatalf("seed %d step %d: change %+v, want the same number in Was and Now", seed, step, change)
 					}
 				}
 			}
-			want, got := m.members(), d.members(dests)
+			want, got := m.membersByDest(), d.membersByDest(dests)
 			for dest := range dests {
 				if (len(want[dest]) > 0 || len(got[dest]) > 0) && !reflect.DeepEqual(want[dest], got[dest]) {
 					t.Fatalf("seed %d step %d: destination %d\nwant %+v\ngot  %+v", seed, step, dest, want[dest], got[dest])
 				}
-				if got := d.Knows(dest); len(m.named) > 0 && (got && !m.ever[dest] || !got && m.named[dest]) {
-					t.Fatalf("seed %d step %d: %d named: %v", seed, step, dest, got)
+				if got := d.Knows(dest); len(m.namedAtEnd) > 0 && (got && !m.everNamed[dest] || !got && m.namedAtEnd[dest]) {
+					t.Fatalf("seed %d step %d: destination %d: got known %v, want the opposite", seed, step, dest, got)
 				}
 			}
 			endpoints, destinations := d.Len()
-			if endpoints != len(m.at) || destinations != len(want) && destinations != len(got) {
-				t.Fatalf("seed %d step %d: %d endpoints of %d destinations, want %d", seed, step, endpoints, destinations, len(m.at))
+			if endpoints != len(m.byID) || destinations != len(want) && destinations != len(got) {
+				t.Fatalf("seed %d step %d: got %d endpoints of %d destinations, want %d endpoints",
+					seed, step, endpoints, destinations, len(m.byID))
 			}
-			for n, id := range held { // under the same number, listed or not
-				if e, ok := d.Get(n); !ok || (e.Phase == Removed) != (m.at[id].ID == "") {
-					t.Fatalf("seed %d step %d: %s is held: %+v, %v", seed, step, id, e, ok)
+			for n, id := range held { // held endpoints keep their number, listed or not
+				if e, ok := d.Get(n); !ok || (e.Phase == Removed) != (m.byID[id].ID == "") {
+					t.Fatalf("seed %d step %d: held endpoint %s: got %+v, found %v; want Removed if it is not listed",
+						seed, step, id, e, ok)
 				}
 				if rng.IntN(9) == 0 {
 					d.Release(n)
 					delete(held, n)
 				}
 			}
-			for _, x := range got[rng.IntN(dests)] {
-				e, ok := d.Find(x.ID)
+			for _, member := range got[rng.IntN(dests)] {
+				e, ok := d.Find(member.ID)
 				if !ok {
-					t.Fatalf("seed %d step %d: %s is not found", seed, step, x.ID)
+					t.Fatalf("seed %d step %d: Find does not find %s", seed, step, member.ID)
 				}
 				d.Hold(e.Number)
-				held[e.Number] = x.ID
+				held[e.Number] = member.ID
 			}
 		}
 		for n := range held {
 			d.Release(n)
 		}
-		take(t, d, List{Complete: true}, 7)
-		if uses := len(d.longIDs.indexes) + len(d.addrs.indexes) + len(d.rates.indexes) + len(d.attributes.indexes); uses > 0 || d.tableBytes != 0 {
-			t.Errorf("seed %d: %d values and %d bytes left in the tables of an empty directory", seed, uses, d.tableBytes)
+		applyList(t, d, List{Complete: true}, 7)
+		if values := len(d.longIDs.indexes) + len(d.addrs.indexes) + len(d.rates.indexes) +
+			len(d.attributes.indexes); values > 0 || d.tableBytes != 0 {
+			t.Errorf("seed %d: tables of an empty directory hold %d values and %d bytes, want none", seed, values, d.tableBytes)
 		}
 		used := 0
 		for i := range shardCount {
 			used += d.idIndex.shards[i].used + d.destIndex.shards[i].used
 		}
 		if used > 0 {
-			t.Errorf("seed %d: %d left in the indexes", seed, used)
+			t.Errorf("seed %d: indexes of an empty directory hold %d slots, want none", seed, used)
 		}
 	}
 }
 
-// TestDrainBindsAsItIsRead: an endpoint that is up is known to drain before the end
-// of the list that says so, also if that end never comes; nothing else is.
-func TestDrainBindsAsItIsRead(t *testing.T) {
+// TestDrainAppliesWhileListIsRead checks that a drain or removal takes effect when its entry is read, even if the list
+// is aborted later. Other changes must wait for the end of the list, and a drain in an older list must not apply.
+func TestDrainAppliesWhileListIsRead(t *testing.T) {
 	d := NewDirectory(0)
-	up := Member{ID: "s-1", HostPort: "10.0.0.1:1", Cell: 3, Phase: "up", Size: 1}
+	member := Member{ID: "s-1", HostPort: "10.0.0.1:1", Cell: 3, Phase: "up", Size: 1}
 	other := Member{ID: "s-2", HostPort: "10.0.0.2:1", Cell: 3, Phase: "up", Size: 1}
-	take(t, d, List{Complete: true, Members: []Member{up, other}}, 9)
-	s, _ := d.Stage(context.Background())
-	up.Phase, other.Size = "removed", 9
-	if told, err := s.Entry(up.Entry(), true); !told || err != nil {
-		t.Fatal(told, err)
+	applyList(t, d, List{Complete: true, Members: []Member{member, other}}, 9)
+	stage, _ := d.Stage(context.Background())
+	member.Phase, other.Size = "removed", 9
+	if drains, err := stage.Entry(member.Entry(), true); !drains || err != nil {
+		t.Fatal(drains, err)
 	}
-	s.Entry(other.Entry(), true)
+	stage.Entry(other.Entry(), true)
 	got, done := d.TakeDrained(9, nil)
-	if len(got) != 1 || !done || got[0].Now.Phase != Draining || d.Endpoints(3, nil)[0].Phase != Draining || d.Endpoints(3, nil)[1].Rate != 1 {
-		t.Errorf("drained %+v, now %+v", got, d.Endpoints(3, nil))
+	if len(got) != 1 || !done || got[0].Now.Phase != Draining || d.Endpoints(3, nil)[0].Phase != Draining ||
+		d.Endpoints(3, nil)[1].Rate != 1 {
+		t.Errorf("got drains %+v and endpoints %+v, want only s-1 draining", got, d.Endpoints(3, nil))
 	}
-	s.Abort()
+	stage.Abort()
 	if all := d.Endpoints(3, nil); len(all) != 2 || all[0].Phase != Draining || all[1].Rate != 1 {
-		t.Errorf("after a torn list: %+v", all)
+		t.Errorf("endpoints after an aborted list: got %+v, want s-1 draining and s-2 unchanged", all)
 	}
-	s, _ = d.Stage(context.Background())
+	stage, _ = d.Stage(context.Background())
 	other.Phase = "draining"
-	if told, _ := s.Entry(other.Entry(), false); told || d.Endpoints(3, nil)[1].Phase != Up {
-		t.Error("word of an older list bound")
+	if drains, _ := stage.Entry(other.Entry(), false); drains || d.Endpoints(3, nil)[1].Phase != Up {
+		t.Error("a drain in an older list has taken effect")
 	}
-	s.Abort()
+	stage.Abort()
 }
 
-// TestFullDirectory: what does not fit is one error, and what was known stays.
+// TestFullDirectory checks that a list that does not fit returns ErrFull and leaves the directory as it was, and that
+// a list that fits is accepted afterwards.
 func TestFullDirectory(t *testing.T) {
 	d := NewDirectory(400 << 10)
-	take(t, d, List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "10.0.0.1:1", Cell: 3, Phase: "up"}}}, 9)
-	s, _ := d.Stage(context.Background())
+	applyList(t, d, List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "10.0.0.1:1", Cell: 3, Phase: "up"}}}, 9)
+	stage, _ := d.Stage(context.Background())
 	var err error
 	n := 0
 	for ; err == nil && n < 1e6; n++ {
-		_, err = s.Entry((&Member{ID: fmt.Sprint("x-", n), HostPort: "10.0.0.1:1", Cell: n, Phase: "up"}).Entry(), true)
+		_, err = stage.Entry((&Member{ID: fmt.Sprint("x-", n), HostPort: "10.0.0.1:1", Cell: n, Phase: "up"}).Entry(), true)
 	}
 	if !errors.Is(err, ErrFull) {
-		t.Fatalf("after %d entries: %v", n, err)
+		t.Fatalf("after %d entries: got error %v, want ErrFull", n, err)
 	}
-	s.Abort()
+	stage.Abort()
 	if endpoints, _ := d.Len(); endpoints != 1 || len(d.Endpoints(3, nil)) != 1 || d.Size() > 400<<10 {
-		t.Errorf("%d endpoints, %d bytes", endpoints, d.Size())
+		t.Errorf("after the aborted list: got %d endpoints in %d bytes, want 1 within the limit", endpoints, d.Size())
 	}
-	take(t, d, List{Revision: 2, Complete: true, Members: []Member{{ID: "s-2", HostPort: "10.0.0.1:1", Cell: 4, Phase: "up"}}}, 9)
+	applyList(t, d, List{Revision: 2, Complete: true, Members: []Member{{ID: "s-2", HostPort: "10.0.0.1:1", Cell: 4, Phase: "up"}}}, 9)
 	if len(d.Endpoints(4, nil)) != 1 || len(d.Endpoints(3, nil)) != 0 || d.Revision() != 2 {
-		t.Error("a list that fits is not taken afterwards")
+		t.Error("a list that fits is not accepted afterwards")
 	}
 }
 
 func TestPacking(t *testing.T) {
-	for _, s := range []string{"0.0.0.0:0", "10.1.0.18:6379", "255.255.255.255:65535"} {
-		if ip, port, ok := packAddr([]byte(s)); !ok || formatAddr(ip, port) != s {
-			t.Errorf("%s: %v %d %v", s, ip, port, ok)
+	for _, addr := range []string{"0.0.0.0:0", "10.1.0.18:6379", "255.255.255.255:65535"} {
+		if ip, port, ok := packAddr([]byte(addr)); !ok || formatAddr(ip, port) != addr {
+			t.Errorf("packAddr(%s): got %v, %d, %v, which formatAddr does not turn back", addr, ip, port, ok)
 		}
 	}
-	for _, s := range []string{"", "10.1.0.18", "10.1.0.18:", "10.1.0.256:1", "01.1.0.18:1", "10.1.0.18:65536", "10.1.0.18:06", "[::1]:7", "a.b:1",
+	for _, addr := range []string{"", "10.1.0.18", "10.1.0.18:", "10.1.0.256:1", "01.1.0.18:1", "10.1.0.18:65536", "10.1.0.18:06", "[::1]:7", "a.b:1",
 		"10.1.0.18:1 ", "10.1.0:18:1", "10.1.0.18:99999999999"} {
-		if _, _, ok := packAddr([]byte(s)); ok {
-			t.Errorf("%q was packed", s)
+		if _, _, ok := packAddr([]byte(addr)); ok {
+			t.Errorf("packAddr(%q) succeeded, want failure", addr)
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	packed := 0
 	for range 100000 {
-		v := math.Round(rng.Float64()*1e6) / math.Pow10(rng.IntN(6))
-		if p, ok := packRate(v); ok {
-			if packed++; unpackRate(p) != v {
-				t.Fatalf("%v became %v", v, unpackRate(p))
+		rate := math.Round(rng.Float64()*1e6) / math.Pow10(rng.IntN(6))
+		if packedRate, ok := packRate(rate); ok {
+			if packed++; unpackRate(packedRate) != rate {
+				t.Fatalf("rate %v is %v after unpacking", rate, unpackRate(packedRate))
 			}
 		}
 	}
 	if _, ok := packRate(math.NaN()); ok || packed < 90000 {
-		t.Errorf("%d packed", packed)
+		t.Errorf("packed %d of 100000 rates, want at least 90000 and not NaN", packed)
 	}
-	for _, v := range []float64{-1, math.Inf(1), 1.0 / 3} {
-		if _, ok := packRate(v); ok {
-			t.Errorf("%v was packed", v)
+	for _, rate := range []float64{-1, math.Inf(1), 1.0 / 3} {
+		if _, ok := packRate(rate); ok {
+			t.Errorf("packRate(%v) succeeded, want failure", rate)
 		}
 	}
 }
 
-type read struct {
+type readResult struct {
 	Header
-	ids  []string
-	last Entry
+	ids       []string
+	lastEntry Entry
 }
 
-func readAll(in io.Reader, lenient bool) (got read, err error) {
+func readAll(in io.Reader, lenient bool) (got readResult, err error) {
 	got.Header, err = Read(in, lenient, func(_ *Header, e *Entry) error {
 		got.ids = append(got.ids, string(e.ID))
-		got.last = *e
+		got.lastEntry = *e
 		return nil
 	})
 	return got, err
 }
 
-// TestReadList: compact, indented, in any order of keys, in pieces, with keys and
-// values that nobody knows; and what is no list.
+// TestReadList checks the forms of a valid list: compact or indented, keys in any order, escaped strings, unknown
+// keys, and input byte by byte. It also checks that each kind of malformed list is an error.
 func TestReadList(t *testing.T) {
-	const a = `{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"m2","cell":3,"phase":"up","size":1.5,"up_since_ms":0}`
+	const entry = `{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"m2","cell":3,"phase":"up","size":1.5,"up_since_ms":0}`
 	for name, text := range map[string]string{
-		"compact":   `{"revision":41,"complete":true,"members":[` + a + `]}`,
-		"any order": ` {"x":{"y":[1,"}"]},"members":[` + a + `],"complete":true,"revision":41} ` + "\n",
-		"escaped":   `{"revision":41,"complete":true,"members":[` + strings.Replace(a, `"s-1"`, `"\u0073-1"`, 1) + `]}`,
+		"compact":   `{"revision":41,"complete":true,"members":[` + entry + `]}`,
+		"any order": ` {"x":{"y":[1,"}"]},"members":[` + entry + `],"complete":true,"revision":41} ` + "\n",
+		"escaped":   `{"revision":41,"complete":true,"members":[` + strings.Replace(entry, `"s-1"`, `"\u0073-1"`, 1) + `]}`,
 	} {
 		var indented bytes.Buffer
 		json.Indent(&indented, []byte(text), "", "  ")
 		for _, text := range []string{text, indented.String()} {
 			got, err := readAll(iotest.OneByteReader(strings.NewReader(text)), false)
-			if err != nil || got.Header != (Header{41, true, true}) || len(got.ids) != 1 || got.ids[0] != "s-1" || got.last.Dest != 3 ||
-				got.last.Rate != 1.5 || string(got.last.HostPort) != "10.0.0.1:1" || got.last.Phase != Up {
-				t.Errorf("%s: %+v, %v", name, got, err)
+			if err != nil || got.Header != (Header{41, true, true}) || len(got.ids) != 1 || got.ids[0] != "s-1" || got.lastEntry.Dest != 3 ||
+				got.lastEntry.Rate != 1.5 || string(got.lastEntry.HostPort) != "10.0.0.1:1" || got.lastEntry.Phase != Up {
+				t.Errorf("%s: got %+v, error %v; want the one entry of revision 41", name, got, err)
 			}
 		}
 	}
-	twice := strings.Replace(a, `"id":"s-1",`, `"id":"s-0","locality":"z","id":"s-1","id":null,`, 1)
-	if got, err := readAll(strings.NewReader(`{"members":[`+twice+`]}`), false); err != nil || len(got.ids) != 1 || got.ids[0] != "s-1" ||
-		string(got.last.Locality) != "a" {
-		t.Errorf("keys named twice: %+v, %v", got, err)
+	repeated := strings.Replace(entry, `"id":"s-1",`, `"id":"s-0","locality":"z","id":"s-1","id":null,`, 1)
+	if got, err := readAll(strings.NewReader(`{"members":[`+repeated+`]}`), false); err != nil || len(got.ids) != 1 || got.ids[0] != "s-1" ||
+		string(got.lastEntry.Locality) != "a" {
+		t.Errorf("repeated keys: got %+v, error %v; want the last value of each", got, err)
 	}
-	bad := strings.Replace(a, `"up"`, `"asleep"`, 1)
+	badPhase := strings.Replace(entry, `"up"`, `"asleep"`, 1)
 	for name, text := range map[string]string{
-		"empty": "", "cut": `{"revision":41,"members":[` + a, "no members": `{"revision":41}`, "null members": `{"members":null}`,
-		"two": `{"members":[]}{"members":[]}`, "behind": `{"members":[]}x`, "open behind": `{"members":[]}{`, "wrong type": `{"members":[{"id":7}]}`,
-		"phase": `{"members":[` + bad + `]}`, "no id": `{"members":[{"phase":"up"}]}`, "no place": `{"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`,
-		"cell": `{"members":[{"id":"s-1","phase":"up","host_port":"a:1","cell":-1}]}`, "long": `{"members":[{"id":"` + strings.Repeat("x", maxTextBytes+1) + `","phase":"removed"}]}`,
+		"empty": "", "truncated": `{"revision":41,"members":[` + entry, "no members": `{"revision":41}`, "null members": `{"members":null}`,
+		"two lists": `{"members":[]}{"members":[]}`, "trailing data": `{"members":[]}x`, "trailing brace": `{"members":[]}{`, "wrong type": `{"members":[{"id":7}]}`,
+		"phase": `{"members":[` + badPhase + `]}`, "no id": `{"members":[{"phase":"up"}]}`, "bad address": `{"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`,
+		"cell": `{"members":[{"id":"s-1","phase":"up","host_port":"a:1","cell":-1}]}`, "long id": `{"members":[{"id":"` + strings.Repeat("x", maxTextBytes+1) + `","phase":"removed"}]}`,
 	} {
 		if got, err := readAll(strings.NewReader(text), false); err == nil {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("%s: got %+v, want an error", name, got)
 		}
 	}
-	if got, err := readAll(strings.NewReader(`{"members":[`+bad+`,`+a+`]}`), true); err != nil || len(got.ids) != 1 {
-		t.Errorf("lenient: %+v, %v", got, err)
+	if got, err := readAll(strings.NewReader(`{"members":[`+badPhase+`,`+entry+`]}`), true); err != nil || len(got.ids) != 1 {
+		t.Errorf("lenient: got %+v, error %v; want the valid entry only", got, err)
 	}
 }
 
-// TestLines: what a watch brings, and how it may break.
-func TestLines(t *testing.T) {
-	const one, two = `{"revision":1,"members":[]}`, "{\n  \"revision\": 2,\n  \"members\": []\n}"
+// TestWatchReader checks which lists and empty lines are read from a watch, and how malformed and truncated lists end
+// it.
+func TestWatchReader(t *testing.T) {
+	const compact, indented = `{"revision":1,"members":[]}`, "{\n  \"revision\": 2,\n  \"members\": []\n}"
 	long := `{"revision":3,"members":[` + strings.TrimRight(strings.Repeat(`{"id":"s-1","phase":"removed"},`, 20000), ",") + "]}"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		text string
-		want string // e: empty, digits: revisions, b: bad, t: torn
+		want string // e: empty line, digit: revision of a list, b: malformed list, t: truncated list
 	}{
-		"both":           {"\n" + one + "\n \r\n" + two + "\n" + one + "\n\n", "e1e21e"},
-		"torn":           {one + "\n" + one, "1t"},
-		"torn indented":  {two[:9], "t"},
-		"bad line":       {`{"revision":1,"members":[` + "\n" + one + "\n", "b"},
-		"no end":         {"{\n \"revision\": 1,\n{\n", "b"},
-		"blank inside":   {"{\n \"revision\": 1,\n\n", "b"},
-		"long":           {long + "\n" + one + "\n", "31"},
-		"long, torn":     {long, "t"},
-		"text behind it": {one + "x\n", "b"},
+		"both forms":         {"\n" + compact + "\n \r\n" + indented + "\n" + compact + "\n\n", "e1e21e"},
+		"truncated":          {compact + "\n" + compact, "1t"},
+		"truncated indented": {indented[:9], "t"},
+		"line without end":   {`{"revision":1,"members":[` + "\n" + compact + "\n", "b"},
+		"second start":       {"{\n \"revision\": 1,\n{\n", "b"},
+		"empty line inside":  {"{\n \"revision\": 1,\n\n", "b"},
+		"long":               {long + "\n" + compact + "\n", "31"},
+		"long, truncated":    {long, "t"},
+		"trailing text":      {compact + "x\n", "b"},
 	} {
-		going := 0
-		l := NewWatchReader(strings.NewReader(x.text), func() { going++ })
+		progressCalls := 0
+		reader := NewWatchReader(strings.NewReader(test.text), func() { progressCalls++ })
 		got := ""
 		for !strings.ContainsAny(got, "bt") {
-			list, err := l.Next()
+			list, err := reader.Next()
 			if err != nil {
 				break
 			}
@@ -374,56 +382,56 @@
 				got += "e"
 				continue
 			}
-			r, err := readAll(l, false)
+			result, err := readAll(reader, false)
 			switch {
 			case err == nil:
-				got += fmt.Sprint(r.Revision)
-			case l.StreamErr() != nil:
+				got += fmt.Sprint(result.Revision)
+			case reader.StreamErr() != nil:
 				got += "t"
 			default:
 				got += "b"
 			}
 		}
-		if got != x.want {
-			t.Errorf("%s: %s, want %s", name, got, x.want)
+		if got != test.want {
+			t.Errorf("%s: got %s, want %s", name, got, test.want)
 		}
-		if strings.HasPrefix(name, "long") && going < len(long)/readBufferSize-1 {
-			t.Errorf("%s: said to go on %d times", name, going)
+		if strings.HasPrefix(name, "long") && progressCalls < len(long)/readBufferSize-1 {
+			t.Errorf("%s: got %d calls of onProgress, want one for each full buffer", name, progressCalls)
 		}
 	}
 }
 
-// text gives the list of so many destinations of two endpoints each, made as it is read.
-func text(dests int, change func(i int, m *Member)) io.Reader {
+// generateList returns a full list of dests destinations with two endpoints each. It is generated while it is read.
+func generateList(dests int, modify func(i int, member *Member)) io.Reader {
 	in, out := io.Pipe()
 	go func() {
 		fmt.Fprint(out, `{"revision":41,"complete":true,"members":[`)
-		b := make([]byte, 0, 64<<10)
-		quoted := func(key, v string) {
-			b = append(append(append(append(append(b, ",\""...), key...), "\":\""...), v...), '"')
+		buf := make([]byte, 0, 64<<10)
+		appendString := func(key, value string) {
+			buf = append(append(append(append(append(buf, ",\""...), key...), "\":\""...), value...), '"')
 		}
-		number := func(key string, v int) {
-			b = strconv.AppendInt(append(append(append(b, ",\""...), key...), "\":"...), int64(v), 10)
+		appendNumber := func(key string, value int) {
+			buf = strconv.AppendInt(append(append(append(buf, ",\""...), key...), "\":"...), int64(value), 10)
 		}
 		for i := range 2 * dests {
-			m := Member{"s-" + strconv.Itoa(10_000_000+i), formatAddr([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}, 6379), "a", "m2", i / 2, "up", 25}
-			if change != nil {
-				change(i, &m)
+			member := Member{"s-" + strconv.Itoa(10_000_000+i), formatAddr([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}, 6379), "a", "m2", i / 2, "up", 25}
+			if modify != nil {
+				modify(i, &member)
 			}
 			if i > 0 {
-				b = append(b, ',')
+				buf = append(buf, ',')
 			}
-			b = append(b, `{"up_since_ms":0`...)
-			quoted("id", m.ID)
-			quoted("host_port", m.HostPort)
-			quoted("locality", m.Locality)
-			quoted("flavor", m.Flavor)
-			number("cell", m.Cell)
-			quoted("phase", m.Phase)
-			number("size", int(m.Size))
-			if b = append(b, '}'); len(b) > 32<<10 || i == 2*dests-1 {
-				out.Write(b)
-				b = b[:0]
+			buf = append(buf, `{"up_since_ms":0`...)
+			appendString("id", member.ID)
+			appendString("host_port", member.HostPort)
+			appendString("locality", member.Locality)
+			appendString("flavor", member.Flavor)
+			appendNumber("cell", member.Cell)
+			appendString("phase", member.Phase)
+			appendNumber("size", int(member.Size))
+			if buf = append(buf, '}'); len(buf) > 32<<10 || i == 2*dests-1 {
+				out.Write(buf)
+				buf = buf[:0]
 			}
 		}
 		fmt.Fprint(out, "]}")
@@ -432,76 +440,80 @@
 	return in
 }
 
-func takeText(t testing.TB, d *Directory, in io.Reader) []Change {
-	s, err := d.Stage(context.Background())
+func readAndApply(t testing.TB, d *Directory, in io.Reader) []Change {
+	stage, err := d.Stage(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := Read(in, false, func(_ *Header, e *Entry) error { _, err := s.Entry(e, false); return err })
+	header, err := Read(in, false, func(_ *Header, e *Entry) error { _, err := stage.Entry(e, false); return err })
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := s.Commit(h.Revision, h.Complete)
-	var all, some []Change
+	update := stage.Commit(header.Revision, header.Complete)
+	var first, step []Change
 	for done := false; !done; {
-		some, done = u.Apply(512, some[:0])
-		if len(all) < 1000 {
-			all = append(all, some...)
+		step, done = update.Apply(512, step[:0])
+		if len(first) < 1000 {
+			first = append(first, step...)
 		}
 	}
-	return all
+	return first
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// TestListedDestinationIsSmall: a destination of two endpoints takes under 100 bytes at
-// every size, as the heap has it and as the directory counts it, and the list again with
-// one entry changed brings that change and takes no more.
-func TestListedDestinationIsSmall(t *testing.T) {
+// TestMemoryPerDestination checks that a destination with two endpoints takes at most 100 bytes at every list size,
+// both on the heap and as the directory counts it. Reading the list again with one entry changed must yield one change
+// and take no more memory.
+func TestMemoryPerDestination(t *testing.T) {
 	for _, dests := range []int{20_000, 100_000, 880_000} {
-		before := heap()
+		before := heapBytes()
 		d := NewDirectory(0)
-		takeText(t, d, text(dests, nil))
-		used := heap() - before
-		t.Logf("%d destinations: %.1f bytes each on the heap, %.1f counted", dests, float64(used)/float64(dests), float64(d.Size())/float64(dests))
+		readAndApply(t, d, generateList(dests, nil))
+		used := heapBytes() - before
+		t.Logf("%d destinations: %.1f bytes each on the heap, %.1f counted", dests,
+			float64(used)/float64(dests), float64(d.Size())/float64(dests))
 		if used > int64(dests)*100 || d.Size() > int64(dests)*100 || d.Size() < used*9/10 {
-			t.Errorf("%d destinations take %d bytes, %d are counted", dests, used, d.Size())
+			t.Errorf("%d destinations: got %d bytes on the heap and %d counted, want up to 100 each, 9/10 counted",
+				dests, used, d.Size())
 		}
 		size := d.Size()
-		changes := takeText(t, d, text(dests, func(i int, m *Member) {
+		changes := readAndApply(t, d, generateList(dests, func(i int, m *Member) {
 			if i == dests {
 				m.Phase = "draining"
 			}
 		}))
 		if len(changes) != 1 || changes[0].Now.Phase != Draining || changes[0].Now.Dest != dests/2 || d.Size() != size {
-			t.Errorf("one entry differs: %+v, %d bytes more", changes, d.Size()-size)
+			t.Errorf("list with one changed entry: got changes %+v and %d bytes more, want one drain and none",
+				changes, d.Size()-size)
 		}
 		if endpoints, destinations := d.Len(); endpoints != 2*dests || destinations != dests {
-			t.Errorf("%d endpoints of %d destinations", endpoints, destinations)
+			t.Errorf("got %d endpoints of %d destinations, want two endpoints each", endpoints, destinations)
 		}
 	}
 }
 
-// TestGrowthIsGradual: no entry moves more than a small part of an index, however long it is.
-func TestGrowthIsGradual(t *testing.T) {
-	x, most := &index{}, 0
+// TestIndexGrowsGradually checks that no insertion moves more than a small part of an index, however long the index
+// is.
+func TestIndexGrowsGradually(t *testing.T) {
+	x, maxMoved := &index{}, 0
 	hash := func(slot uint32) uint64 { return mixHash(uint64(slot)) }
 	for slot := range uint32(500_000) {
 		moved := 0
 		x.put(hash(slot), slot, func(s uint32) uint64 { moved++; return hash(s) })
-		most = max(most, moved)
+		maxMoved = max(maxMoved, moved)
 	}
-	if most > 500_000/100 {
-		t.Errorf("%d of 500,000 entries moved at once", most)
+	if maxMoved > 500_000/100 {
+		t.Errorf("an insertion moved %d of 500,000 entries, want at most 5,000", maxMoved)
 	}
 	for slot := range uint32(500_000) {
 		if got, ok := x.find(hash(slot), func(s uint32) bool { return s == slot }); !ok || got != slot {
-			t.Fatalf("%d is not found", slot)
+			t.Fatalf("slot %d is not found", slot)
 		}
 		if slot%3 == 0 {
 			x.remove(hash(slot), slot, hash)
@@ -509,52 +521,55 @@
 	}
 	for slot := range uint32(500_000) {
 		if _, ok := x.find(hash(slot), func(s uint32) bool { return s == slot }); ok != (slot%3 != 0) {
-			t.Fatalf("%d found: %v", slot, ok)
+			t.Fatalf("slot %d: got found %v, want the opposite", slot, ok)
 		}
 	}
 }
 
 func BenchmarkReadList(b *testing.B) {
-	all, _ := io.ReadAll(text(100_000, nil))
-	b.SetBytes(int64(len(all)))
+	list, _ := io.ReadAll(generateList(100_000, nil))
+	b.SetBytes(int64(len(list)))
 	for name, d := range map[string]*Directory{"known": NewDirectory(0), "new": nil} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				x := d
-				if x == nil {
-					x = NewDirectory(0)
+				directory := d
+				if directory == nil {
+					directory = NewDirectory(0)
 				}
-				takeText(b, x, bytes.NewReader(all))
+				readAndApply(b, directory, bytes.NewReader(list))
 			}
 		})
 	}
 }
 
-// A change of one entry costs what it changes, whatever else is listed: bytes are counted, not time.
-func TestChangeCostsWhatItChanges(t *testing.T) {
-	each := func(dests int) float64 {
+// TestDeltaMemoryDoesNotDependOnListLength checks that a delta of one entry allocates about the same memory however
+// many endpoints are listed. It measures bytes rather than time.
+func TestDeltaMemoryDoesNotDependOnListLength(t *testing.T) {
+	bytesPerDelta := func(dests int) float64 {
 		d := NewDirectory(0)
-		l := List{Revision: 1, Complete: true}
+		list := List{Revision: 1, Complete: true}
 		for i := range dests {
-			l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%08x", i), HostPort: "10.1.2.3:80", Locality: "a", Flavor: "k", Cell: i, Phase: "up", Size: 1})
+			list.Members = append(list.Members, Member{ID: fmt.Sprintf("s-%08x", i), HostPort: "10.1.2.3:80", Locality: "a", Flavor: "k", Cell: i, Phase: "up", Size: 1})
 		}
-		take(t, d, l, 512)
+		applyList(t, d, list, 512)
 		const changes = 200
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for n := range changes {
-			x := l.Members[dests-1-n]
-			x.Phase = "draining"
-			if got := take(t, d, List{Revision: int64(n + 2), Members: []Member{x}}, 512); len(got) != 1 {
-				t.Fatalf("%d changes", len(got))
+			member := list.Members[dests-1-n]
+			member.Phase = "draining"
+			if got := applyList(t, d, List{Revision: int64(n + 2), Members: []Member{member}}, 512); len(got) != 1 {
+				t.Fatalf("delta of one entry: got %d changes, want 1", len(got))
 			}
 		}
 		runtime.ReadMemStats(&after)
 		return float64(after.TotalAlloc-before.TotalAlloc) / changes
 	}
-	few, many := each(1000), each(200000)
-	t.Logf("%.0f bytes a change of one entry with 1,000 listed, %.0f with 200,000", few, many)
-	if many > 1.5*few {
-		t.Errorf("%.0f bytes a change of one entry with 1,000 listed, %.0f with 200,000", few, many)
+	withFew, withMany := bytesPerDelta(1000), bytesPerDelta(200000)
+	t.Logf("a delta of one entry allocates %.0f bytes with 1,000 endpoints listed, %.0f with 200,000",
+		withFew, withMany)
+	if withMany > 1.5*withFew {
+		t.Errorf("a delta of one entry allocates %.0f bytes with 1,000 endpoints listed, %.0f with 200,000; want similar",
+			withFew, withMany)
 	}
 }
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -87,9 +87,9 @@
 	return string(strconv.AppendUint(append(b, ':'), uint64(port), 10))
 }
 
-// A packed rate consists of 28 bits of digits and, in the 4 bits above, the power of ten that divides them. A rate that
-// is not exactly the same float64 in this form is stored in a table: the packed rate then has the exponent rateInTable
-// and the table index in place of the digits.
+// A packed rate consists of 28 bits of digits and, in the 4 bits above, the power of ten that divides them. A rate
+// that is not exactly the same float64 in this form is stored in a table: the packed rate then has the exponent
+// rateInTable and the table index in place of the digits.
 const (
 	rateDigitBits = 28
 	rateInTable   = 15
--- a/internal/membership/stage.go
+++ b/internal/membership/stage.go
@@ -31,8 +31,8 @@
 	return &Stage{directory: d}, nil
 }
 
-// Entry stages an entry. If applyDrains is set, a drain takes effect at once; drains then reports whether there is one,
-// for TakeDrained.
+// Entry stages an entry. If applyDrains is set, a drain takes effect at once; drains then reports whether there is
+// one, for TakeDrained.
 func (s *Stage) Entry(e *Entry, applyDrains bool) (drains bool, err error) {
 	d := s.directory
 	d.mu.Lock()
@@ -160,8 +160,8 @@
 // wordsPerChange is the number of bitmap words whose search counts as one change; it takes about as long.
 const wordsPerChange = 4
 
-// Apply puts about maxChanges changes in force and appends them to into. It reports whether all changes of the list are
-// in force.
+// Apply puts about maxChanges changes in force and appends them to into. It reports whether all changes of the list
+// are in force.
 func (u *Update) Apply(maxChanges int, into []Change) (_ []Change, done bool) {
 	d, s := u.stage.directory, u.stage
 	if u.applied {
@@ -274,8 +274,8 @@
 	return change, true
 }
 
-// TakeDrained takes up to maxChanges of the endpoints that a list marked as draining while it was read, and appends the
-// changes to into. It reports whether there are no more.
+// TakeDrained takes up to maxChanges of the endpoints that a list marked as draining while it was read, and appends
+// the changes to into. It reports whether there are no more.
 func (d *Directory) TakeDrained(maxChanges int, into []Change) (_ []Change, done bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/relay/clock_step_test.go
+++ b/internal/relay/clock_step_test.go
@@ -283,9 +283,9 @@
 	for i, dest := range []int{servedDest, otherDest} { // the endpoints move to where no connection comes up
 		member := first.member(fmt.Sprintf("s-%d", i), dest)
 		member.HostPort = moved[i].server.Listener.Addr().String()
-		r.discovery.say(t, change(int64(2+i), member))
+		r.discovery.say(t, deltaJSON(int64(2+i), member))
 	}
-	r.discovery.say(t, change(4, marker.member("s-2", busyDest)))
+	r.discovery.say(t, deltaJSON(4, marker.member("s-2", busyDest)))
 	r.awaitMember(busyDest)
 	// The system tries a connection again a second after its beginning. What begins here comes up shortly after
 	// the end of the short window; beginning later, or opening the endpoints later, only tests less.
@@ -487,7 +487,7 @@
 		}
 		d.lines = nil
 	})
-	r.discovery.say(t, change(2, served.member("s-2", unservedDest)))
+	r.discovery.say(t, deltaJSON(2, served.member("s-2", unservedDest)))
 	r.expectDelivered(late, served, 1)
 	r.verify()
 }
@@ -528,11 +528,11 @@
 	r := newSteppedRelay(t, stays.member("s-1", servedDest), leaving)
 	r.start()
 	leaving.Phase = phaseDraining
-	r.discovery.say(t, change(2, leaving))
+	r.discovery.say(t, deltaJSON(2, leaving))
 	// The line and what follows on the same watch come in order: the member of another destination is known
 	// only after the drain.
 	marker := newFakeEndpoint(t, nil)
-	r.discovery.say(t, change(3, marker.member("s-3", otherDest)))
+	r.discovery.say(t, deltaJSON(3, marker.member("s-3", otherDest)))
 	r.awaitMember(otherDest)
 	r.clock.step(t, step)
 	for i := range messages {
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -18,182 +18,185 @@
 	"troutusher/internal/clock"
 )
 
-// The phases of a member.
+// Phases of a member in the list.
 const phaseUp, phaseDraining, phaseRemoved = "up", "draining", "removed"
 
-// watchList runs discovery and hands on what it hears.
-func watchList(t *testing.T, d *fakeDiscovery, silence time.Duration) chan *List {
+// startDiscovery runs a discovery client until the test ends and returns a channel with the lists that it receives.
+func startDiscovery(t *testing.T, agent *fakeDiscovery, silence time.Duration) chan *List {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, -1, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
-	x.silenceTimeout = silence
-	go func() { defer close(done); x.run(ctx) }()
+	lists, done := make(chan *List, 64), make(chan struct{})
+	client := newDiscovery(agent.addr(), 3, -1, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	client.silenceTimeout = silence
+	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return news
+	return lists
 }
 
-func next(t *testing.T, news chan *List) *List {
+func nextList(t *testing.T, lists chan *List) *List {
 	t.Helper()
 	select {
-	case l := <-news:
-		return l
+	case list := <-lists:
+		return list
 	case <-time.After(30 * time.Second):
-		t.Fatal("no news")
+		t.Fatal("no list within 30 s")
 		return nil
 	}
 }
 
-func change(rev int64, m Member) string {
-	text, _ := json.Marshal(List{Revision: rev, Members: []Member{m}})
+func deltaJSON(revision int64, member Member) string {
+	text, _ := json.Marshal(List{Revision: revision, Members: []Member{member}})
 	return string(text)
 }
 
-// Changes follow the whole list; after a break the watch goes on from the
-// version that was reached, and a line that cannot be read makes the whole
-// list be fetched again.
+// Deltas follow the full list. After a broken connection the watch resumes from the revision reached, and after a
+// malformed line the full list is fetched again.
 func TestWatch(t *testing.T) {
-	m := Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: phaseUp}
-	d := newFakeDiscovery(t, m)
-	news := watchList(t, d, testLimit)
-	if l := next(t, news); !l.Complete || len(l.Members) != 1 {
-		t.Fatalf("first %+v", l)
+	member := Member{ID: "s-1", HostPort: "127.0.0.1:1", Cell: 3, Phase: phaseUp}
+	d := newFakeDiscovery(t, member)
+	lists := startDiscovery(t, d, testLimit)
+	if l := nextList(t, lists); !l.Complete || len(l.Members) != 1 {
+		t.Fatalf("first list: got %+v, want a full list with one member", l)
 	}
-	m.Phase = phaseDraining
-	d.say(t, change(2, m))
-	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != phaseDraining {
-		t.Fatalf("then %+v", l)
+	member.Phase = phaseDraining
+	d.say(t, deltaJSON(2, member))
+	if l := nextList(t, lists); l.Revision != 2 || l.Complete || l.Members[0].Phase != phaseDraining {
+		t.Fatalf("second list: got %+v, want the delta of revision 2", l)
 	}
-	d.set(func(d *fakeDiscovery) { close(d.lines[0]) }) // the connection ends
+	d.set(func(d *fakeDiscovery) { close(d.lines[0]) }) // closes the connection
 	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 2 })
 	d.mu.Lock()
 	from, fetches := d.froms[1], d.fetches
 	d.mu.Unlock()
 	if from != "2" || fetches != 1 {
-		t.Errorf("goes on from %s after %d fetches", from, fetches)
+		t.Errorf("watch resumed from revision %s after %d fetches, want 2 after 1", from, fetches)
 	}
-	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
+	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`,
+		`{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
 		d.say(t, bad)
-		if l := next(t, news); !l.Complete {
-			t.Fatalf("after line %d: %+v", i, l)
+		if l := nextList(t, lists); !l.Complete {
+			t.Fatalf("after malformed line %d: got %+v, want the full list", i, l)
 		}
-		waitFor(t, "a further watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 3+i })
+		waitFor(t, "another watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 3+i })
 	}
 }
 
-// Guards against a watch that is open and dead: one that says nothing, not
-// even an empty line, is given up.
+// A watch whose connection is dead stays open. A watch that sends nothing, not even an empty line, must be closed and
+// opened again.
 func TestSilentWatch(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
-	news := watchList(t, d, 100*time.Millisecond)
-	next(t, news)
+	lists := startDiscovery(t, d, 100*time.Millisecond)
+	nextList(t, lists)
 	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) >= 2 })
 }
 
-// Guards discovery against a fleet that lost it at one moment: in every span of
-// an asking's cost there is at most a few relays' worth of askings, whatever
-// their number, and a small fleet still asks soon.
-func TestFleetAsksSpreadOut(t *testing.T) {
+// A fleet that loses discovery at one moment must not overload it. In each span of ten service times the number of
+// requests stays bounded, however many relays there are, while a small fleet still retries soon.
+func TestFleetRequestsSpreadOut(t *testing.T) {
 	for _, relays := range []int{3, 80, 300, 3000} {
 		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
 		rng := rand.New(rand.NewPCG(1, 2))
 		span := 10 * discoveryServiceTime
-		asked := map[time.Duration]int{} // by span
+		requests := map[time.Duration]int{} // number of requests by span
 		for range relays {
 			at := time.Duration(0)
-			for failed := 1; at < time.Minute; failed++ {
-				at += d.backoffDelay(failed, rng.Float64())
-				asked[at/span]++
+			for refusals := 1; at < time.Minute; refusals++ {
+				at += d.backoffDelay(refusals, rng.Float64())
+				requests[at/span]++
 			}
 		}
-		// Word counts as told 6 s after discovery could be reached, so each relay asks once
-		// in discRest at least: that is the least that a fleet may cost, and hardly more.
-		even := float64(relays) * span.Seconds() / maxBackoffCeiling.Seconds()
-		t.Logf("%d relays: %.1f askings a second after half a minute", relays, float64(asked[30*time.Second/span])/span.Seconds())
-		for at, n := range asked {
-			if n > max(25, relays*3) || relays > 3 && n > max(30, int(1.6*even)) {
-				t.Errorf("%d relays: %d askings in the %v from %v", relays, n, span, at*span)
+		// A relay is held to know the list 6 s after discovery recovers, so each relay sends a request at least once
+		// in maxBackoffCeiling. That is the lowest rate possible, and the fleet must hardly exceed it.
+		evenRequests := float64(relays) * span.Seconds() / maxBackoffCeiling.Seconds()
+		t.Logf("%d relays: %.1f requests per second after half a minute", relays,
+			float64(requests[30*time.Second/span])/span.Seconds())
+		for at, n := range requests {
+			if n > max(25, relays*3) || relays > 3 && n > max(30, int(1.6*evenRequests)) {
+				t.Errorf("%d relays: got %d requests in the %v from %v, want fewer", relays, n, span, at*span)
 			}
 		}
 	}
-	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove || d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
-		t.Errorf("300 relays: first pause up to %v, a later one from %v", d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
+	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove ||
+		d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
+		t.Errorf("300 relays: first delay is up to %v, a later one at least %v; want a shorter first and a longer later one",
+			d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
 	}
-	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound || d.responseWait != minResponseWait {
-		t.Errorf("three relays: first pause up to %v, answer within %v", d.backoffDelay(1, 0.99), d.responseWait)
+	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound ||
+		d.responseWait != minResponseWait {
+		t.Errorf("three relays: first delay is up to %v, response wait %v; want at most two rounds, and minResponseWait",
+			d.backoffDelay(1, 0.99), d.responseWait)
 	}
 }
 
-// Guards the start of a fleet: a relay that knows a list asks only for what is
-// new since, and is ready though nothing is.
+// A fleet that starts must not make discovery send all of its list to each relay. A relay that knows a list requests
+// only later changes, and becomes ready even if there are none.
 func TestStartFromKnownList(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
-	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
-	go func() { defer close(done); x.run(ctx) }()
+	lists, done := make(chan *List, 64), make(chan struct{})
+	client := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	if l := next(t, news); l.Complete || len(l.Members) > 0 || l.Revision != 7 {
-		t.Errorf("first %+v", l)
+	if l := nextList(t, lists); l.Complete || len(l.Members) > 0 || l.Revision != 7 {
+		t.Errorf("first list: got %+v, want an empty delta of revision 7", l)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fetches != 0 || len(d.froms) != 1 || d.froms[0] != "7" {
-		t.Errorf("%d fetches, watches from %v", d.fetches, d.froms)
+		t.Errorf("got %d fetches and watches from %v, want no fetch and one watch from 7", d.fetches, d.froms)
 	}
 }
 
-// Guards the rule on drains at a restart in a large fleet: what the agent has
-// counts as told from the start, so the first watch waits for no turn.
+// A relay is held to know the agent's drains soon after its start, in a large fleet too. So the first watch is opened
+// without a delay.
 func TestLargeFleetStartsWatchingAtOnce(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
-	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
-	x.round = 1000 * time.Hour
-	go func() { defer close(done); x.run(ctx) }()
+	lists, done := make(chan *List, 64), make(chan struct{})
+	client := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	client.round = 1000 * time.Hour
+	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	if l := next(t, news); l.Revision != 7 {
-		t.Errorf("first %+v", l)
+	if l := nextList(t, lists); l.Revision != 7 {
+		t.Errorf("first list: got %+v, want an empty delta of revision 7", l)
 	}
 }
 
-// Guards an overloaded discovery against double work: a watch that it refuses
-// goes on from the version reached, without the whole list.
-func TestRefusedWatchKeepsVersion(t *testing.T) {
+// An overloaded discovery must not have to send the full list again. After a refused watch the relay retries from the
+// revision reached.
+func TestRefusedWatchKeepsRevision(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	d.set(func(d *fakeDiscovery) { d.refuse = 2 })
-	next(t, watchList(t, d, testLimit))
+	nextList(t, startDiscovery(t, d, testLimit))
 	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 1 })
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fetches != 1 || d.froms[0] != "1" || d.refuse != 0 {
-		t.Errorf("%d fetches, watch from %s, %d refusals left", d.fetches, d.froms[0], d.refuse)
+		t.Errorf("got %d fetches, watch from %s, %d refusals left; want 1, 1 and 0", d.fetches, d.froms[0], d.refuse)
 	}
 }
 
-// Guards the start against silent discovery: the relay answers with the list
-// that it was given.
+// If discovery is silent at the start, the relay accepts messages with the list that it was configured with.
 func TestStartWithoutDiscovery(t *testing.T) {
 	d := newFakeDiscovery(t)
 	d.set(func(d *fakeDiscovery) { d.silent = true })
 	env := testConfig(t, d, 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", fields("plain", 20000, 1), nil); s != "+OK" {
-		t.Error(s)
+	child := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if reply := client.put("m", fields("plain", 20000, 1), nil); reply != "+OK" {
+		t.Error(reply)
 	}
-	_ = c
+	_ = child
 }
 
-// Notices are sent until they are taken; one that cannot be read does not hold
-// up the others.
+// A notice is sent again until it is confirmed. A notice that the agent rejects as malformed counts as
+// confirmed, so that it does not hold up the others.
 func TestNotices(t *testing.T) {
 	d := newFakeDiscovery(t)
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
-	taken := make(chan string, 16)
-	n := newNotices(d.addr(), clock.System(), quietLog(), func(id string) { taken <- id })
+	confirmed := make(chan string, 16)
+	n := newNotices(d.addr(), clock.System(), quietLog(), func(id string) { confirmed <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
@@ -201,27 +204,27 @@
 	n.incoming.put(notice{Message: "a", Outcome: noticeGivenUp})
 	n.incoming.put(notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500})
 	select {
-	case id := <-taken:
-		t.Fatalf("%s held to be told", id)
+	case id := <-confirmed:
+		t.Fatalf("notice %s counts as confirmed after status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
 	for range 2 {
-		<-taken
+		<-confirmed
 	}
 	if b, _ := d.notice("b"); b != (notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500}) {
-		t.Errorf("told %+v", b)
+		t.Errorf("got notice %+v, want handed_back with retry_in_ms 500", b)
 	}
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusBadRequest })
 	n.incoming.put(notice{Message: "c", Outcome: noticeGivenUp})
-	if id := <-taken; id != "c" {
-		t.Errorf("%s in place of c", id)
+	if id := <-confirmed; id != "c" {
+		t.Errorf("got confirmation of %s, want c", id)
 	}
 }
 
-// noticeAgent is an agent of which a test says what it does with each POST: it
-// gives the answer, or none to break the connection.
-func noticeAgent(t *testing.T, answer func(text string) string) string {
+// noticeAgent starts an agent that sends the response that respond returns for the body of each POST request. If the
+// response is empty, it resets the connection.
+func noticeAgent(t *testing.T, respond func(text string) string) string {
 	t.Helper()
 	return rawEndpoint(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -234,26 +237,27 @@
 			if err != nil {
 				return
 			}
-			said := answer(string(text))
-			if said == "" {
+			response := respond(string(text))
+			if response == "" {
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
-			io.WriteString(c, said)
+			io.WriteString(c, response)
 		}
 	})
 }
 
 const (
-	noticeTaken  = "HTTP/1.1 204 No Content\r\n\r\n"
-	noticeUnread = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
+	confirmedResponse = "HTTP/1.1 204 No Content\r\n\r\n"
+	malformedResponse = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 )
 
-// tellAll runs notices until so many are told, and returns how often each was.
-func tellAll(t *testing.T, addr string, count int, put func(*notices)) map[string]int {
+// confirmAll runs notices until count confirmations have arrived. It returns the number of confirmations of each
+// notice.
+func confirmAll(t *testing.T, addr string, count int, put func(*notices)) map[string]int {
 	t.Helper()
-	taken := make(chan string, maxNoticeBatch)
-	n := newNotices(addr, clock.System(), quietLog(), func(id string) { taken <- id })
+	confirmed := make(chan string, maxNoticeBatch)
+	n := newNotices(addr, clock.System(), quietLog(), func(id string) { confirmed <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
@@ -262,49 +266,46 @@
 	got := map[string]int{}
 	for range count {
 		select {
-		case id := <-taken:
+		case id := <-confirmed:
 			got[id]++
 		case <-time.After(10 * time.Second):
-			t.Fatalf("only %v told", got)
+			t.Fatalf("timeout: got confirmations %v", got)
 		}
 	}
 	return got
 }
 
-// Guards the time of a notice: one whose try is held up without end does not
-// hold up what comes later, and is itself sent again beside that try; one whose
-// connections are reset is sent again too.
+// A try without a response must not delay later notices, and its notice is sent again while that try stays open. A
+// notice whose connections are reset is sent again too.
 func TestNoticesDoNotWaitForEachOther(t *testing.T) {
-	later := make(chan struct{})
-	told := sync.OnceFunc(func() { close(later) })
+	laterSent := make(chan struct{})
+	closeLaterSent := sync.OnceFunc(func() { close(laterSent) })
 	var resets atomic.Int32
-	var hangs atomic.Bool
+	var silentReceived atomic.Bool
 	addr := noticeAgent(t, func(text string) string {
 		switch {
 		case strings.Contains(text, "silent"):
-			hangs.Store(true)
-			<-later
+			silentReceived.Store(true)
+			<-laterSent
 		case strings.Contains(text, "later"):
-			told()
+			closeLaterSent()
 		case resets.Add(1) <= 3:
 			return ""
 		}
-		return noticeTaken
+		return confirmedResponse
 	})
-	got := tellAll(t, addr, 3, func(n *notices) {
+	got := confirmAll(t, addr, 3, func(n *notices) {
 		n.incoming.put(notice{Message: "reset", Outcome: noticeGivenUp})
 		n.incoming.put(notice{Message: "silent", Outcome: noticeGivenUp})
-		waitFor(t, "the try that hangs", hangs.Load)
+		waitFor(t, "the try without a response", silentReceived.Load)
 		n.incoming.put(notice{Message: "later", Outcome: noticeGivenUp})
 	})
 	if len(got) != 3 {
-		t.Errorf("told %v", got)
+		t.Errorf("got confirmations %v, want one of each of three notices", got)
 	}
 }
 
-// Guards the number of tries that a notice has within its time: on silent
-// connections a third goes out early enough to be in time, on ones that are
-// reset a fifth.
+// Within the time of a notice there must be three tries if connections are silent, and five if they are reset.
 func TestNoticeTriesInTime(t *testing.T) {
 	silent, reset := time.Duration(0), time.Duration(0)
 	for failed := range 2 {
@@ -313,27 +314,27 @@
 	for failed := range 4 {
 		reset += backoff(noticeRetryDelay, failed)
 	}
-	if most := 200 * time.Millisecond; silent > most || reset > most {
-		t.Errorf("third try into silence after %v, fifth after resets after %v", silent, reset)
+	if maxDelay := 200 * time.Millisecond; silent > maxDelay || reset > maxDelay {
+		t.Errorf("third try on silent connections is sent after %v, fifth try after resets after %v; want at most 200ms",
+			silent, reset)
 	}
 }
 
-// Guards the others against a notice that the agent cannot read: the batch is
-// taken apart, and each is told by itself.
-func TestUnreadableNoticeHoldsUpNone(t *testing.T) {
+// A malformed notice must not hold up the others of its batch. The notices of a rejected batch are sent one by one.
+func TestMalformedNoticeDelaysNoOther(t *testing.T) {
 	addr := noticeAgent(t, func(text string) string {
 		if strings.Contains(text, "bad") {
-			return noticeUnread
+			return malformedResponse
 		}
-		return noticeTaken
+		return confirmedResponse
 	})
-	got := tellAll(t, addr, maxNoticeBatch, func(n *notices) {
+	got := confirmAll(t, addr, maxNoticeBatch, func(n *notices) {
 		n.incoming.put(notice{Message: "bad", Outcome: noticeGivenUp})
 		for i := range maxNoticeBatch - 1 {
 			n.incoming.put(notice{Message: strconv.Itoa(i), Outcome: noticeGivenUp})
 		}
 	})
 	if len(got) != maxNoticeBatch {
-		t.Errorf("%d of %d told, %v", len(got), maxNoticeBatch, got)
+		t.Errorf("got %d of %d notices confirmed: %v", len(got), maxNoticeBatch, got)
 	}
 }
--- a/internal/relay/faulty_agent_test.go
+++ b/internal/relay/faulty_agent_test.go
@@ -13,15 +13,16 @@
 	"troutusher/internal/membership"
 )
 
-// Discovery that cannot be dialled is asked again after pauses, also where the
-// errno counts as a timeout: that was told at once and is no silence.
+// If discovery cannot be dialled, the relay must back off rather than retry in a busy loop. That includes an errno
+// that counts as a timeout: the dial failed at once, so the error is not a silent connection.
 func TestDiscoveryDialDoesNotSpin(t *testing.T) {
 	const span = 400 * time.Millisecond
 	for _, errno := range append(append([]syscall.Errno{}, localErrnos...), remoteErrnos...) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			dials := &faultSchedule{failures: 1 << 30, errno: errno}
-			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), quietLog(), func(context.Context) (membership.Receiver, error) { return nil, errStaleList })
+			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), quietLog(),
+				func(context.Context) (membership.Receiver, error) { return nil, errStaleList })
 			d.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				dials.next()
 				return nil, opError("dial", "connect", errno)
@@ -29,14 +30,14 @@
 			ctx, cancel := context.WithTimeout(context.Background(), span)
 			defer cancel()
 			d.run(ctx)
-			if n := dials.count(); n < 1 || n > 20 { // pauses of 100 ms at least
+			if n := dials.count(); n < 1 || n > 20 { // delays are at least 100 ms
 				t.Errorf("%d dials in %v", n, span)
 			}
 		})
 	}
 }
 
-// Notices that cannot be dialled are tried again after pauses.
+// If the agent cannot be dialled, notices must be retried after a backoff rather than in a busy loop.
 func TestNoticesDialDoesNotSpin(t *testing.T) {
 	const span = 400 * time.Millisecond
 	for _, errno := range append(append([]syscall.Errno{}, localErrnos...), remoteErrnos...) {
@@ -52,7 +53,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), span)
 			defer cancel()
 			n.run(ctx)
-			if made := dials.count(); made < 2 || made > 20 { // pauses of 10 ms, doubling to 500 ms
+			if made := dials.count(); made < 2 || made > 20 { // delays start at 10 ms and double up to 500 ms
 				t.Errorf("%d dials in %v", made, span)
 			}
 		})
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -11,42 +11,47 @@
 	"troutusher/internal/clock"
 )
 
-// Guards what is needed to follow one message by its id: with the debug level
-// there is a line for when it was taken on, for its delivery and for its notice;
-// without it there are only those of attempts that failed and of ends.
+// An operator must be able to follow a message by its id. At the debug level the log has a line for the acceptance of
+// the message, for its delivery and for its notice. At the info level it has lines only for failed attempts and for
+// messages that are given up or handed back.
 func TestMessageCanBeFollowed(t *testing.T) {
-	lines := func(level slog.Level) string {
+	logOutput := func(level slog.Level) string {
 		var out bytes.Buffer
 		r := testRelay(t)
 		r.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))
 		r.ctx = t.Context()
 		r.wal = &wal{in: newMailbox[walOp]()}
-		r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
-		for _, what := range []decide.Outcome{decide.Delivered, decide.Errored} {
-			q := &putRequest{record: &record{ID: map[decide.Outcome]string{decide.Delivered: "good", decide.Errored: "bad"}[what],
+		r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1",
+			Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
+		for _, outcome := range []decide.Outcome{decide.Delivered, decide.Errored} {
+			request := &putRequest{record: &record{ID: map[decide.Outcome]string{decide.Delivered: "good",
+				decide.Errored: "bad"}[outcome],
 				Class: "plain", Dest: 7, Rules: &decide.Class{}}}
-			m := r.newMessage(q.record)
-			r.waiting[q] = m
-			r.replyWritten(q, true)
-			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, At: r.now() + 1e9})
-			c := r.forming[0]
+			message := r.newMessage(request.record)
+			r.waiting[request] = message
+			r.replyWritten(request, true)
+			r.act(r.now(), &decide.Action{Kind: decide.ActSend, Message: message.num, Endpoint: r.named("s-1").num,
+				At: r.now() + 1e9})
+			call := r.forming[0]
 			r.gathered()
-			r.returned(c, nil, &callResult{outcome: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
+			r.returned(call, nil, &callResult{outcome: outcome, settled: outcome == decide.Delivered,
+				err: errors.New("error set by the test")})
 		}
-		n := newNotices("127.0.0.1:1", clock.System(), r.log, func(string) {})
-		n.confirm(&pendingNotice{notice: notice{Message: "bad", Outcome: noticeGivenUp}}, nil, 0)
+		notices := newNotices("127.0.0.1:1", clock.System(), r.log, func(string) {})
+		notices.confirm(&pendingNotice{notice: notice{Message: "bad", Outcome: noticeGivenUp}}, nil, 0)
 		return out.String()
 	}
-	all, few := lines(slog.LevelDebug), lines(slog.LevelInfo)
-	for _, x := range []string{"msg=taken message=good", "msg=delivered message=good", "msg=taken message=bad", "msg=told message=bad"} {
-		if !strings.Contains(all, x) {
-			t.Errorf("no line with %s in\n%s", x, all)
+	debugLog, infoLog := logOutput(slog.LevelDebug), logOutput(slog.LevelInfo)
+	for _, line := range []string{"msg=taken message=good", "msg=delivered message=good",
+		"msg=taken message=bad", "msg=told message=bad"} {
+		if !strings.Contains(debugLog, line) {
+			t.Errorf("log at debug level: want a line with %s, got\n%s", line, debugLog)
 		}
-		if strings.Contains(few, x) {
-			t.Errorf("%s without the debug level", x)
+		if strings.Contains(infoLog, line) {
+			t.Errorf("log at info level has a line with %s, want none", line)
 		}
 	}
-	if x := "msg=attempt message=bad"; !strings.Contains(few, x) || strings.Contains(few, "good") {
-		t.Errorf("want %s and nothing of what was delivered in\n%s", x, few)
+	if line := "msg=attempt message=bad"; !strings.Contains(infoLog, line) || strings.Contains(infoLog, "good") {
+		t.Errorf("log at info level: want a line with %s and none of the delivered message, got\n%s", line, infoLog)
 	}
 }
--- a/internal/relay/outage_test.go
+++ b/internal/relay/outage_test.go
@@ -16,9 +16,8 @@
 	"troutusher/internal/clock"
 )
 
-// Whatever discovery answered, or did not, and however many relays there are: the next
-// request goes out so soon that its answer is there 6 s after discovery could be reached
-// again, and none is left open alone for longer.
+// However discovery fails and however many relays there are, the next request is sent early enough for its response to
+// arrive within 6 s of the recovery. No request stays open alone for longer than that.
 func TestNextRequestIsInTime(t *testing.T) {
 	for _, relays := range []int{1, 3, 30, 300, 3000, 100000} {
 		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
@@ -26,28 +25,29 @@
 			for n := range 100 {
 				d.knownBy = d.clock.Now().Add(due)
 				if got := d.refusalDelay(n+1, 0.999999) + minResponseWait; got >= knownAfterSilence {
-					t.Fatalf("%d relays, %d refusals: an answer %v later", relays, n+1, got)
+					t.Fatalf("%d relays, %d refusals: got a response after %v, want less than 6s", relays, n+1, got)
 				}
 				if got := d.nextRequestDelay(n, 0.999999) + minResponseWait; got >= knownAfterSilence {
-					t.Fatalf("%d relays, %d without an answer: the next one's %v later", relays, n, got)
+					t.Fatalf("%d relays, %d requests without a response: got the next response after %v, want less than 6s",
+						relays, n, got)
 				}
 			}
 		}
 	}
 }
 
-// gaps keeps the longest time that the log names until a next request.
-type gaps struct {
+// delayLog is a log handler that keeps the longest delay until the next request and the number of delays.
+type delayLog struct {
 	slog.Handler
-	most atomic.Int64
-	seen atomic.Int64
+	maxMS   atomic.Int64
+	records atomic.Int64
 }
 
-func (g *gaps) Handle(_ context.Context, r slog.Record) error {
+func (g *delayLog) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "pause_ms" || a.Key == "next_ms" {
-			g.seen.Add(1)
-			for old := g.most.Load(); a.Value.Int64() > old && !g.most.CompareAndSwap(old, a.Value.Int64()); old = g.most.Load() {
+			g.records.Add(1)
+			for old := g.maxMS.Load(); a.Value.Int64() > old && !g.maxMS.CompareAndSwap(old, a.Value.Int64()); old = g.maxMS.Load() {
 			}
 		}
 		return true
@@ -55,116 +55,125 @@
 	return nil
 }
 
-// 300 relays whose discovery was out, in any way, hear of a change made meanwhile; until
-// then none leaves more time between two requests than lets it in within 6 s. What was
-// asked before the return is not answered any more, but where the agent kept it.
-func TestChangeIsHeardAfterAnyOutage(t *testing.T) {
+// After an outage of discovery of any kind, all 300 relays receive a change made during the outage. During the outage
+// the delay between two requests of a relay is short enough for the change to arrive within 6 s of the recovery. The
+// agent does not respond to requests from before the recovery, except in the case "kept".
+func TestChangeArrivesAfterAnyOutage(t *testing.T) {
 	const relays = 300
-	full := change(9, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseDraining}) + "\n"
-	reply := func(c net.Conn, status, body string) {
+	delta := deltaJSON(9, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseDraining}) + "\n"
+	respond := func(c net.Conn, status, body string) {
 		fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
-	kinds := map[string]func(c net.Conn, back <-chan struct{}) (kept bool){
-		"reset":     func(c net.Conn, _ <-chan struct{}) bool { c.(*net.TCPConn).SetLinger(0); return false },
-		"ended":     func(net.Conn, <-chan struct{}) bool { return false },
-		"5xx":       func(c net.Conn, _ <-chan struct{}) bool { reply(c, "503 Busy", ""); return true },
-		"cut":       func(c net.Conn, _ <-chan struct{}) bool { io.WriteString(c, watchHead+chunk(full[:30])); return false },
-		"kept":      func(_ net.Conn, back <-chan struct{}) bool { <-back; return true },
-		"forgotten": func(c net.Conn, _ <-chan struct{}) bool { untilClosed(c); return false },
-		"headless":  func(c net.Conn, _ <-chan struct{}) bool { io.WriteString(c, watchHead); untilClosed(c); return false },
+	faults := map[string]func(c net.Conn, recovered <-chan struct{}) (kept bool){
+		"reset": func(c net.Conn, _ <-chan struct{}) bool { c.(*net.TCPConn).SetLinger(0); return false },
+		"ended": func(net.Conn, <-chan struct{}) bool { return false },
+		"5xx":   func(c net.Conn, _ <-chan struct{}) bool { respond(c, "503 Busy", ""); return true },
+		"cut": func(c net.Conn, _ <-chan struct{}) bool {
+			io.WriteString(c, watchHeader+chunk(delta[:30]))
+			return false
+		},
+		"kept":      func(_ net.Conn, recovered <-chan struct{}) bool { <-recovered; return true },
+		"forgotten": func(c net.Conn, _ <-chan struct{}) bool { waitUntilClosed(c); return false },
+		"headless": func(c net.Conn, _ <-chan struct{}) bool {
+			io.WriteString(c, watchHeader)
+			waitUntilClosed(c)
+			return false
+		},
 	}
-	for name, out := range kinds {
-		for _, moved := range []bool{false, true} {
-			if moved && name != "forgotten" && name != "5xx" {
+	for name, fail := range faults {
+		for _, addressChanges := range []bool{false, true} {
+			if addressChanges && name != "forgotten" && name != "5xx" {
 				continue
 			}
-			sub := name
-			if moved {
-				sub += ", moved meanwhile"
+			testName := name
+			if addressChanges {
+				testName += ", address changes"
 			}
-			t.Run(sub, func(t *testing.T) {
+			t.Run(testName, func(t *testing.T) {
 				t.Parallel()
-				back := make(chan struct{})
-				var asked, late atomic.Int64
-				serve := func(c net.Conn, up func() bool) {
+				recovered := make(chan struct{})
+				var requests, requestsAfterRecovery atomic.Int64
+				serve := func(c net.Conn, hasRecovered func() bool) {
 					for in := bufio.NewReader(c); ; {
 						req, err := http.ReadRequest(in)
 						if err != nil {
 							return
 						}
-						asked.Add(1)
-						if !up() {
-							if !out(c, back) {
+						requests.Add(1)
+						if !hasRecovered() {
+							if !fail(c, recovered) {
 								return
 							}
 							if name != "kept" {
 								continue
 							}
 						} else {
-							late.Add(1)
+							requestsAfterRecovery.Add(1)
 						}
 						if req.URL.Query().Get("watch") != "" {
-							io.WriteString(c, watchHead+chunk(full))
-							untilClosed(c)
+							io.WriteString(c, watchHeader+chunk(delta))
+							waitUntilClosed(c)
 							return
 						}
-						reply(c, "200 OK", `{"revision":9,"complete":true,"members":[]}`)
+						respond(c, "200 OK", `{"revision":9,"complete":true,"members":[]}`)
 					}
 				}
-				isBack := func() bool {
+				isRecovered := func() bool {
 					select {
-					case <-back:
+					case <-recovered:
 						return true
 					default:
 						return false
 					}
 				}
-				addr := rawEndpoint(t, func(c net.Conn) { serve(c, isBack) })
-				second := rawEndpoint(t, func(c net.Conn) { serve(c, isBack) })
-				log := &gaps{Handler: slog.NewTextHandler(io.Discard, nil)}
+				addr := rawEndpoint(t, func(c net.Conn) { serve(c, isRecovered) })
+				secondAddr := rawEndpoint(t, func(c net.Conn) { serve(c, isRecovered) })
+				log := &delayLog{Handler: slog.NewTextHandler(io.Discard, nil)}
 				ctx, cancel := context.WithCancel(context.Background())
 				var running sync.WaitGroup
 				defer running.Wait()
 				defer cancel()
-				heard := make(chan int64, 8*relays)
-				var all []*discovery
+				revisions := make(chan int64, 8*relays)
+				var clients []*discovery
 				for range relays {
-					d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log), collectLists(func(l *List) { heard <- l.Revision }))
+					d := newDiscovery(addr, relays, 7, clock.System(), slog.New(log),
+						collectLists(func(l *List) { revisions <- l.Revision }))
 					d.reopenGrace = 100 * time.Millisecond
-					all = append(all, d)
+					clients = append(clients, d)
 					running.Add(1)
 					go func() { defer running.Done(); d.run(ctx) }()
 				}
-				began := time.Now()
-				failures := int64(5) // beyond the time in which another try fits in anyway
+				started := time.Now()
+				failures := int64(5) // by then knownBy no longer shortens the delays
 				if silent := name == "kept" || name == "forgotten" || name == "headless"; silent {
 					failures = 2
 				}
-				waitFor(t, "failures of each relay", func() bool { return log.seen.Load() >= failures*relays })
-				if moved {
-					for _, d := range all {
-						d.addresses.put(second)
+				waitFor(t, "failures of each relay", func() bool { return log.records.Load() >= failures*relays })
+				if addressChanges {
+					for _, d := range clients {
+						d.addresses.put(secondAddr)
 					}
 				}
-				rate := float64(asked.Load()) / time.Since(began).Seconds()
-				close(back)
+				rate := float64(requests.Load()) / time.Since(started).Seconds()
+				close(recovered)
 				for n := 0; n < relays; {
 					select {
-					case rev := <-heard:
-						if rev == 9 {
+					case revision := <-revisions:
+						if revision == 9 {
 							n++
 						}
 					case <-time.After(30 * time.Second):
-						t.Fatalf("%d of %d relays have heard", n, relays)
+						t.Fatalf("%d of %d relays have received the change", n, relays)
 					}
 				}
-				if most := time.Duration(log.most.Load()) * time.Millisecond; most+minResponseWait >= knownAfterSilence {
-					t.Errorf("%v were left between two requests", most)
+				if maxDelay := time.Duration(log.maxMS.Load()) * time.Millisecond; maxDelay+minResponseWait >= knownAfterSilence {
+					t.Errorf("got a delay of %v between two requests, want a response within 6s", maxDelay)
 				}
-				if n := late.Load(); n > 4*relays {
-					t.Errorf("%d requests after the return for %d relays", n, relays)
+				if n := requestsAfterRecovery.Load(); n > 4*relays {
+					t.Errorf("got %d requests after the recovery from %d relays, want at most 4 each", n, relays)
 				}
-				t.Logf("%.0f askings a second while out, %d after the return", rate, late.Load())
+				t.Logf("%.0f requests per second during the outage, %d requests after the recovery",
+					rate, requestsAfterRecovery.Load())
 			})
 		}
 	}
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -13,64 +13,66 @@
 	"troutusher/internal/clock"
 )
 
-// What a process saw of an outage is known to the next one, whether the list names the endpoint at its start or
-// later, and is gone from the log once it is over.
-func TestOutageOutlastsTheProcess(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// The state of an outage must survive a restart, whether the list names the endpoint at the start of the successor
+// process or later. The log no longer holds the outage once it is over.
+func TestOutageSurvivesRestart(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	away := Member{ID: "s-1", HostPort: ln.Addr().String(), Locality: "a", Flavor: "k", Cell: 1, Phase: phaseUp, Size: 1000}
-	ln.Close() // connections there are refused
-	env := testConfig(t, newFakeDiscovery(t, away), 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
+	unreachable := Member{ID: "s-1", HostPort: listener.Addr().String(), Locality: "a", Flavor: "k", Cell: 1,
+		Phase: phaseUp, Size: 1000}
+	listener.Close() // further connections are refused
+	env := testConfig(t, newFakeDiscovery(t, unreachable), 3)
+	child := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 6 {
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 1), nil); s != "+OK" {
-			t.Fatal(s)
+		if reply := client.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 1), nil); reply != "+OK" {
+			t.Fatal(reply)
 		}
 	}
 	waitFor(t, "the outage in the log", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walName))
 		return strings.Contains(string(text), `"kind":"outage","id":"s-1"`)
 	})
-	c.kill()
+	child.kill()
 	w, _ := openTestWAL(t, env["ROUTER_STATE"], 3<<20)
 	found := w.outages()
 	if len(found) != 1 || found[0].ID != "s-1" || found[0].Outage == nil {
-		t.Fatalf("found %+v", found)
+		t.Fatalf("outages in the log: got %+v, want one of s-1", found)
 	}
 	if age := clock.Since(clock.System(), clock.Instant(found[0].Outage.FirstBad)); age < 0 || age > time.Hour {
-		t.Errorf("began %v ago", age)
+		t.Errorf("outage began %v ago, want between 0 and one hour", age)
 	}
 	for _, listed := range []bool{true, false} {
 		r := testRelay(t)
 		r.wal = w
-		list := func() { r.told(t, &List{Revision: 1, Complete: true, Members: []Member{away}}) }
+		applyList := func() { r.told(t, &List{Revision: 1, Complete: true, Members: []Member{unreachable}}) }
 		if listed {
-			list()
+			applyList()
 		}
 		r.resumeOutages(found)
 		if !listed {
-			list()
+			applyList()
 		}
 		r.step()
 		num := r.named("s-1").num
-		o, known := r.policy.Outage(num)
-		if !known || decide.Time(r.instant(o.FirstBad)) != found[0].Outage.FirstBad || len(r.outages) != 0 {
-			t.Errorf("listed at the start %v: known %v, %+v, want %+v; %d not told", listed, known, o, found[0].Outage, len(r.outages))
+		outage, known := r.policy.Outage(num)
+		if !known || decide.Time(r.instant(outage.FirstBad)) != found[0].Outage.FirstBad || len(r.outages) != 0 {
+			t.Errorf("listed at the start %v: got known %v, outage %+v, want %+v; %d not restored",
+				listed, known, outage, found[0].Outage, len(r.outages))
 		}
 		r.told(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
-		r.step() // nothing is known of what is gone
+		r.step() // the policy drops the outage of a removed endpoint
 		ops := w.in.takeAll(nil)
 		if len(ops) == 0 || ops[len(ops)-1].rec.Kind != recOutage || ops[len(ops)-1].rec.Outage != nil {
-			t.Errorf("after the endpoint left, %d records", len(ops))
+			t.Errorf("after the removal of the endpoint: got %d records, want the end of the outage as the last", len(ops))
 		}
 	}
 }
 
-// Outages keep to their part of the disk, the newest are kept, and those that are over leave nothing; what is owed
-// is held as ever.
+// The outages in the log must stay within their share of the disk: only the newest are kept, and those that are over
+// are dropped. Messages that are owed must not be affected.
 func TestOutagesAreBounded(t *testing.T) {
 	const limit = 512 << 10
 	dir := t.TempDir()
@@ -78,40 +80,40 @@
 	if err := w.append(&record{Kind: recTaken, ID: "m", Class: "plain", Deadline: 1}, false); err != nil {
 		t.Fatal(err)
 	}
-	const all = 5000
-	for i := range all {
-		o := &decide.OutageMemory{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
-		if err := w.append(&record{Kind: recOutage, ID: fmt.Sprintf("s-%08d", i), Outage: o}, false); err != nil {
+	const total = 5000
+	for i := range total {
+		outage := &decide.OutageMemory{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
+		if err := w.append(&record{Kind: recOutage, ID: fmt.Sprintf("s-%08d", i), Outage: outage}, false); err != nil {
 			t.Fatalf("outage %d: %v", i, err)
 		}
 	}
-	if err := w.append(&record{Kind: recOutage, ID: fmt.Sprintf("s-%08d", all-2)}, false); err != nil {
+	if err := w.append(&record{Kind: recOutage, ID: fmt.Sprintf("s-%08d", total-2)}, false); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.append(&record{Kind: recOutage, ID: "s-never"}, false); err != errNotOwed {
-		t.Errorf("the end of an outage that nobody knows: %v", err)
+		t.Errorf("end of an unknown outage: got error %v, want errNotOwed", err)
 	}
 	w.start()
 	w.halt()
 	w.logs.release()
-	again, owed := openTestWAL(t, dir, limit)
-	found := again.outages()
+	reopened, owed := openTestWAL(t, dir, limit)
+	found := reopened.outages()
 	if want := limit/outagePart/outageRoom - 1; len(found) != want {
-		t.Fatalf("%d outages kept, want %d", len(found), want)
+		t.Fatalf("got %d outages kept, want %d", len(found), want)
 	}
 	for i, rec := range found {
-		from := all - len(found) - 1 + i
+		from := total - len(found) - 1 + i
 		if i == len(found)-1 {
-			from = all - 1
+			from = total - 1
 		}
 		if rec.ID != fmt.Sprintf("s-%08d", from) || rec.Outage.BadAt != int64(from)+2 || !rec.Outage.Mute {
-			t.Fatalf("outage %d of %d: %+v %+v", i, len(found), rec, rec.Outage)
+			t.Fatalf("outage %d of %d: got %+v %+v, want the newest ones that are not over", i, len(found), rec, rec.Outage)
 		}
 	}
 	if len(owed) != 1 || owed[0].ID != "m" {
-		t.Errorf("owed %+v", owed)
+		t.Errorf("owed messages: got %+v, want m", owed)
 	}
-	if size, least := again.size, int64(len(found)*100); size > limit/outagePart*2 || size < least {
-		t.Errorf("the log takes %d bytes", size)
+	if size, minSize := reopened.size, int64(len(found)*100); size > limit/outagePart*2 || size < minSize {
+		t.Errorf("got a log of %d bytes, want at least 100 per outage and at most twice their share", size)
 	}
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -214,7 +214,7 @@
 	put("old", 1)
 	waitFor(t, "old", func() bool { return before.count("old") == 1 })
 	m.HostPort = after.addr()
-	disc.say(t, change(2, m))
+	disc.say(t, deltaJSON(2, m))
 	// The change and the message come by different ways: what is sent before
 	// the change may still go to the old place, so wait for the new one.
 	waitFor(t, "the new address", func() bool {
@@ -224,15 +224,15 @@
 		return len(after.calls) > 0
 	})
 	moved := after.member("s-1", 2)
-	disc.say(t, change(3, moved))
+	disc.say(t, deltaJSON(3, moved))
 	// Refused until the list that names it is there.
 	waitFor(t, "the new name", func() bool { return cl.put("two", fields("once", 20000, 2), nil) == "+OK" })
 	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = phaseDraining
-	disc.say(t, change(4, moved))
+	disc.say(t, deltaJSON(4, moved))
 	fresh := before.member("s-2", 2)
-	disc.say(t, change(5, fresh))
+	disc.say(t, deltaJSON(5, fresh))
 	put("marker", 2)
 	waitFor(t, "the marker", func() bool { return before.count("marker")+after.count("marker") == 1 })
 	waitFor(t, "the drain", func() bool {
