--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -109,8 +109,10 @@
 	d.maxBytes = limit
 }
 
+// record returns the record in a slot.
 func (d *Directory) record(slot uint32) *record { return &d.pages[slot/pageRecords][slot%pageRecords] }
 
+// numberOf returns the number of the endpoint that is in a slot now.
 func (d *Directory) numberOf(slot uint32) Number {
 	return Number(d.record(slot).generation)<<32 | Number(slot+1)
 }
@@ -125,6 +127,7 @@
 
 func (d *Directory) idHash(id []byte) uint64 { return maphash.Bytes(d.idSeed, id) }
 
+// idOf returns the id of a record.
 func (d *Directory) idOf(r *record) []byte {
 	if r.idLen == idInTable {
 		return []byte(d.longIDs.values[binary.LittleEndian.Uint32(r.id[:])])
@@ -261,6 +264,7 @@
 	return e.packed && e.ip == r.ip && e.port == r.port
 }
 
+// rateOf returns the rate of a record.
 func (d *Directory) rateOf(r *record) float64 {
 	if r.rate>>rateDigitBits == rateInTable {
 		return math.Float64frombits(d.rates.values[r.rate&(1<<rateDigitBits-1)])
@@ -268,6 +272,7 @@
 	return unpackRate(r.rate)
 }
 
+// setID stores the id of a new record, in longIDs if it is too long for the record.
 func (d *Directory) setID(r *record, id []byte) {
 	if len(id) <= maxInlineID {
 		r.idLen = uint8(copy(r.id[:], id))
@@ -326,6 +331,7 @@
 	}
 }
 
+// endpointAt returns the endpoint in a slot.
 func (d *Directory) endpointAt(slot uint32) Endpoint {
 	r := d.record(slot)
 	return Endpoint{Number: d.numberOf(slot), Dest: int(r.dest), Phase: Phase(r.flags & phaseMask),
--- a/internal/membership/index.go
+++ b/internal/membership/index.go
@@ -8,6 +8,7 @@
 	bytes  int64
 }
 
+// shard is a part of an index, with its own hash table.
 type shard struct {
 	entries []uint32
 	used    int
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -76,6 +76,7 @@
 	return ip, port, ok
 }
 
+// formatAddr formats an IPv4 address with a port.
 func formatAddr(ip [4]byte, port uint16) string {
 	b := make([]byte, 0, len("255.255.255.255:65535"))
 	for i, x := range ip {
@@ -97,6 +98,7 @@
 
 var powersOfTen = [rateInTable]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14}
 
+// packRate packs a rate. It returns false if the rate must be stored in a table.
 func packRate(rate float64) (uint32, bool) {
 	for exponent, power := range powersOfTen {
 		digits := math.Round(rate * power)
@@ -110,6 +112,7 @@
 	return 0, false
 }
 
+// unpackRate returns the rate of a packed rate that is not in a table.
 func unpackRate(packed uint32) float64 {
 	return float64(packed&(1<<rateDigitBits-1)) / powersOfTen[packed>>rateDigitBits]
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -33,6 +33,7 @@
 	return lists
 }
 
+// nextList waits for the next list that discovery passes on.
 func nextList(t *testing.T, lists chan *List) *List {
 	t.Helper()
 	select {
@@ -44,6 +45,7 @@
 	}
 }
 
+// deltaJSON returns a delta with one member as JSON.
 func deltaJSON(revision int64, member Member) string {
 	text, _ := json.Marshal(List{Revision: revision, Members: []Member{member}})
 	return string(text)
@@ -190,8 +192,8 @@
 	_ = child
 }
 
-// A notice is sent again until it is confirmed. A notice that the agent rejects as malformed counts as
-// confirmed, so that it does not hold up the others.
+// A notice is sent again until it is confirmed. A notice that the agent rejects as malformed counts as confirmed, so
+// that it does not hold up the others.
 func TestNotices(t *testing.T) {
 	d := newFakeDiscovery(t)
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
@@ -247,6 +249,7 @@
 	})
 }
 
+// Responses of an agent to notices.
 const (
 	confirmedResponse = "HTTP/1.1 204 No Content\r\n\r\n"
 	malformedResponse = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -25,6 +25,7 @@
 	watches []endedWatch
 }
 
+// endedWatch is the log record of a watch that has ended.
 type endedWatch struct {
 	delayMS int64
 	err     string
@@ -75,6 +76,7 @@
 	})
 }
 
+// watchHeader is the header of the response to a watch; its body consists of chunks.
 const watchHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
@@ -82,6 +84,7 @@
 // waitUntilClosed keeps a connection open until the relay closes it.
 func waitUntilClosed(c net.Conn) { io.Copy(io.Discard, c) }
 
+// startFleetDiscovery runs the discovery client of one relay of a fleet, which starts with revision 7 of the list.
 func startFleetDiscovery(t *testing.T, addr string, relays int) (*discovery, chan *List, *endedWatchLog) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
