--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -153,7 +153,7 @@
 		return err
 	})
 	if err == nil {
-		err = membership.Ended(decoder)
+		err = membership.CheckEnd(decoder)
 	}
 	return err
 }
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	header, err := membership.ReadIn(decoder, func(_ *membership.Header, entry *membership.Entry) error {
+	header, err := membership.ReadEmbedded(decoder, func(_ *membership.Header, entry *membership.Entry) error {
 		if x.knownErr == nil {
 			_, x.knownErr = stage.Entry(entry, false)
 		}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -350,7 +350,7 @@
 				policyEvent.MayHaveRunZone-- // a zone that is no longer configured, which no endpoint matches
 			}
 		}
-		r.directory.Name(rec.Dest) // a list has named it, or the message would not have been accepted
+		r.directory.AddDestination(rec.Dest) // a list has named it, or the message would not have been accepted
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 			policyEvent.Tenant = t
 		}
@@ -534,7 +534,7 @@
 	case r.endedReplies.reply(req.record.ID) != "": // accepted and ended before: sent once more it could run again
 		req.sendReply(r.endedReplies.reply(req.record.ID))
 		return
-	case !r.directory.Named(req.record.Dest):
+	case !r.directory.Knows(req.record.Dest):
 		// Nothing could be sent to it. A destination whose endpoints are only temporarily gone has been
 		// named before.
 		req.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", req.record.Dest)))
@@ -958,7 +958,7 @@
 	if apply(source); source.separateRoute || source.num >= unlistedEndpointBit {
 		return
 	}
-	r.endpointBuffer = r.directory.Of(source.dest, r.endpointBuffer[:0])
+	r.endpointBuffer = r.directory.Endpoints(source.dest, r.endpointBuffer[:0])
 	for i := range r.endpointBuffer {
 		if ep := r.endpoint(decide.Endpoint(r.endpointBuffer[i].Number)); ep != source && !ep.separateRoute {
 			apply(ep)
