--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -10,29 +10,30 @@
 	"troutusher/internal/wire"
 )
 
-// relay is one hosted instance.
+// relay is one simulated relay.
 type relay struct {
-	policy   *decide.Policy
-	left, to int // places of the load values in a report; -1 when absent
-	events   []decide.Event
-	queued   bool
+	policy *decide.Policy
+	// leftField and limitField are the indexes of the load values in a report; -1 if a report has none.
+	leftField, limitField int
+	events                []decide.Event // of the current batch
+	pending               bool           // events are waiting for a step of the policy
 }
 
-// host keeps the instances of one process apart and the lists they share.
+// host holds the relays of one simulation, which are independent of each other, and the lists that they share.
 type host struct {
-	relays  map[uint16]*relay
-	lists   [16][]decide.Entry
-	order   []uint16 // relays with events in this turn, by first event
-	acts    []decide.Action
-	reply   []wire.Action
-	scratch []byte
+	relays       map[uint16]*relay
+	lists        [16][]decide.Entry // by list number
+	pending      []uint16           // relays with events in the current batch, in the order of their first event
+	actions      []decide.Action
+	replyActions []wire.Action
+	replyFrame   []byte
 }
 
 func newHost() *host { return &host{relays: map[uint16]*relay{}} }
 
-// turn reads one frame and returns its reply.
-func (h *host) turn(in io.Reader) ([]byte, error) {
-	clock, events, err := wire.ReadBatch(in)
+// handleBatch reads one frame and returns the reply frame. The reply is valid until the next call.
+func (h *host) handleBatch(input io.Reader) ([]byte, error) {
+	clock, events, err := wire.ReadBatch(input)
 	if err != nil {
 		return nil, err
 	}
@@ -40,179 +41,189 @@
 		return nil, fmt.Errorf("batch header: clock %d is out of range", clock)
 	}
 	now := decide.Time(clock)
-	h.reply, h.order = h.reply[:0], h.order[:0]
+	h.replyActions, h.pending = h.replyActions[:0], h.pending[:0]
 	for i := range events {
-		if err := h.take(now, &events[i]); err != nil {
+		if err := h.handleEvent(now, &events[i]); err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
 	}
-	for _, id := range h.order {
-		if r := h.relays[id]; r != nil && r.queued {
-			h.step(now, id, r)
+	for _, id := range h.pending {
+		if r := h.relays[id]; r != nil && r.pending {
+			h.stepRelay(now, id, r)
 		}
 	}
-	h.scratch, err = wire.AppendReply(h.scratch[:0], h.reply)
-	return h.scratch, err
+	h.replyFrame, err = wire.AppendReply(h.replyFrame[:0], h.replyActions)
+	return h.replyFrame, err
 }
 
-func (h *host) step(now decide.Time, id uint16, r *relay) {
-	h.acts = r.policy.Step(now, r.events, h.acts[:0])
-	r.events, r.queued = r.events[:0], false
-	for i := range h.acts {
-		if w, ok := action(id, &h.acts[i]); ok {
-			h.reply = append(h.reply, w)
+// stepRelay passes the pending events of a relay to its policy and encodes the actions that the policy returns.
+func (h *host) stepRelay(now decide.Time, id uint16, r *relay) {
+	h.actions = r.policy.Step(now, r.events, h.actions[:0])
+	r.events, r.pending = r.events[:0], false
+	for i := range h.actions {
+		if w, ok := wireAction(id, &h.actions[i]); ok {
+			h.replyActions = append(h.replyActions, w)
 		}
 	}
 }
 
-// take hands an event to its instance, or changes the host's own tables.
-func (h *host) take(now decide.Time, e *wire.Event) error {
-	switch e.Code {
-	case wire.EvTable:
-		list := make([]decide.Entry, len(e.Entries))
-		for i, x := range e.Entries {
-			list[i] = decide.Entry{Endpoint: decide.Endpoint(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
-				Dest: int(x.Dest), State: decide.Readiness(x.State), Rate: float64(x.Nominal)}
+// handleEvent adds an event to the pending events of its relay, or updates the host's relays and lists.
+func (h *host) handleEvent(now decide.Time, record *wire.Event) error {
+	switch record.Code {
+	case wire.EvListEntries:
+		list := make([]decide.Entry, len(record.Entries))
+		for i, entry := range record.Entries {
+			list[i] = decide.Entry{Endpoint: decide.Endpoint(entry.Endpoint), Zone: int(entry.Zone),
+				Kind: int(entry.Kind), Dest: int(entry.Dest), State: decide.Readiness(entry.State),
+				Rate: float64(entry.Rate)}
 		}
-		h.lists[e.Sheet] = list
+		h.lists[record.ListNumber] = list
 		return nil
-	case wire.EvUp:
-		r, err := start(e)
+	case wire.EvStart:
+		r, err := newRelay(record)
 		if err != nil {
-			h.reply = append(h.reply, wire.Action{Code: wire.ActBug, Relay: e.Relay, Text: err.Error()})
-			delete(h.relays, e.Relay)
+			h.replyActions = append(h.replyActions,
+				wire.Action{Code: wire.ActError, Relay: record.Relay, Text: err.Error()})
+			delete(h.relays, record.Relay)
 			return nil
 		}
-		h.relays[e.Relay] = r
+		h.relays[record.Relay] = r
 		return nil
-	case wire.EvPowerOff:
-		delete(h.relays, e.Relay)
+	case wire.EvStop:
+		delete(h.relays, record.Relay)
 		return nil
 	}
-	r := h.relays[e.Relay]
+	r := h.relays[record.Relay]
 	if r == nil {
-		return nil // an event for a life that is over
+		return nil // the relay has stopped
 	}
-	ev, ok := h.event(r, e)
+	event, ok := h.policyEvent(r, record)
 	if !ok {
 		return nil
 	}
-	r.events = append(r.events, ev)
-	if !r.queued {
-		r.queued = true
-		h.order = append(h.order, e.Relay)
+	r.events = append(r.events, event)
+	if !r.pending {
+		r.pending = true
+		h.pending = append(h.pending, record.Relay)
 	}
 	return nil
 }
 
+// outcomes maps a status code to the outcome of an attempt or a probe.
 var outcomes = map[uint8]decide.Outcome{wire.StatusOK: decide.Delivered, wire.StatusError: decide.Errored,
-	wire.StatusFull: decide.Full, wire.StatusLate: decide.TimedOut, wire.StatusNoConn: decide.NoConnect,
-	wire.StatusReset: decide.Reset, wire.StatusCancel: decide.Cancelled, wire.StatusMoot: decide.NotSent}
+	wire.StatusFull: decide.Full, wire.StatusTimeout: decide.TimedOut,
+	wire.StatusNoConnection: decide.NoConnect, wire.StatusReset: decide.Reset,
+	wire.StatusCancelled: decide.Cancelled, wire.StatusNotSent: decide.NotSent}
 
-var listNews = map[uint8]decide.ListNews{wire.SyncDelta: decide.ListChange, wire.SyncFull: decide.ListFull,
-	wire.SyncCached: decide.ListCached, wire.SyncFailed: decide.ListFailed}
+// listUpdates maps the kind of a list update to that of package decide.
+var listUpdates = map[uint8]decide.ListNews{wire.ListDelta: decide.ListChange, wire.ListFull: decide.ListFull,
+	wire.ListCached: decide.ListCached, wire.ListFailed: decide.ListFailed}
 
-// event maps a record to the interface's words.
-func (h *host) event(r *relay, e *wire.Event) (decide.Event, bool) {
-	ev := decide.Event{Message: e.Ticket, Endpoint: decide.Endpoint(e.Endpoint), Attempt: int(e.Attempt),
-		Took: decide.Time(e.Took), Outcome: outcomes[e.Status]}
-	if e.Reports > 0 {
-		ev.Load = decide.Load{Left: value(e, r.left), Limit: value(e, r.to)}
-	}
-	switch e.Code {
-	case wire.EvSync:
-		ev.Kind, ev.List = decide.EvList, listNews[e.Kind]
-		if ev.List != decide.ListFailed {
-			ev.Entries = h.lists[e.Sheet]
+// policyEvent converts a record to an event for the policy of a relay. It returns false if the policy has no
+// event for it.
+func (h *host) policyEvent(r *relay, record *wire.Event) (decide.Event, bool) {
+	event := decide.Event{Message: record.MessageID, Endpoint: decide.Endpoint(record.Endpoint),
+		Attempt: int(record.Attempt), Took: decide.Time(record.Duration), Outcome: outcomes[record.Status]}
+	if record.ReportLen > 0 {
+		event.Load = decide.Load{Left: reportValue(record, r.leftField),
+			Limit: reportValue(record, r.limitField)}
+	}
+	switch record.Code {
+	case wire.EvListUpdate:
+		event.Kind, event.List = decide.EvList, listUpdates[record.ListUpdateKind]
+		if event.List != decide.ListFailed {
+			event.Entries = h.lists[record.ListNumber]
 		}
-	case wire.EvCall:
-		ev.Kind, ev.Key, ev.Left, ev.Class = decide.EvMessage, e.Subject, decide.Time(e.Grace), int(e.Class)
-		ev.Dest, ev.Tenant = int(e.Dest), int(e.Tenant)
-		if e.Flags&1 != 0 {
-			ev.Work = decide.Time(e.Estimate)
+	case wire.EvMessage:
+		event.Kind, event.Key, event.Left, event.Class =
+			decide.EvMessage, record.Key, decide.Time(record.TimeLeft), int(record.Class)
+		event.Dest, event.Tenant = int(record.Dest), int(record.Tenant)
+		if record.Flags&1 != 0 {
+			event.Work = decide.Time(record.EstimatedCost)
 		}
-	case wire.EvBegun:
-		ev.Kind = decide.EvBegun
-	case wire.EvResolved:
-		ev.Kind, ev.Settled = decide.EvOutcome, e.Settled
-		switch ev.Outcome {
+	case wire.EvResponseStarted:
+		event.Kind = decide.EvBegun
+	case wire.EvOutcome:
+		event.Kind, event.Settled = decide.EvOutcome, record.Final
+		switch event.Outcome {
 		case decide.Full:
-			ev.Wait = decide.Time(e.Note) * 1000
+			event.Wait = decide.Time(record.StatusDetail) * 1000
 		case decide.NotSent:
-			ev.Slots = e.Note == 1
+			event.Slots = record.StatusDetail == 1
 		}
-	case wire.EvLapsed:
-		ev.Kind = decide.EvWithdraw
-	case wire.EvAlarm:
-		ev.Kind, ev.Token = decide.EvTimer, e.Token
-	case wire.EvHealth:
-		ev.Kind = decide.EvProbed
+	case wire.EvWithdraw:
+		event.Kind = decide.EvWithdraw
+	case wire.EvTimer:
+		event.Kind, event.Token = decide.EvTimer, record.Token
+	case wire.EvProbeResult:
+		event.Kind = decide.EvProbed
 	default:
-		return ev, false
+		return event, false
 	}
-	return ev, true
+	return event, true
 }
 
-func value(e *wire.Event, at int) float64 {
-	if at < 0 || at >= e.Reports {
+// reportValue returns a value of a load report, or 0 if the report lacks it.
+func reportValue(record *wire.Event, field int) float64 {
+	if field < 0 || field >= record.ReportLen {
 		return 0
 	}
-	return float64(e.Report[at])
+	return float64(record.Report[field])
 }
 
-// action maps the interface's words to a record; false for what the simulator has no word for.
-func action(id uint16, a *decide.Action) (wire.Action, bool) {
-	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
-		At: uint64(a.At), Token: a.Token, Text: a.Text}
-	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
-	switch a.Kind {
+// wireAction converts an action to a record. It returns false if the protocol has no record for it.
+func wireAction(id uint16, action *decide.Action) (wire.Action, bool) {
+	record := wire.Action{Relay: id, MessageID: action.Message, Endpoint: uint64(action.Endpoint),
+		Attempt: uint8(action.Attempt), TimeoutAt: uint64(action.At), Token: action.Token, Text: action.Text}
+	record.Delay = uint32(min(max(action.After, 0), math.MaxUint32))
+	switch action.Kind {
 	case decide.ActSend:
-		w.Code = wire.ActDeliver
+		record.Code = wire.ActSend
 	case decide.ActRefuse:
-		w.Code = wire.ActRefuse
+		record.Code = wire.ActRefuse
 	case decide.ActFail:
-		w.Code = wire.ActLose
+		record.Code = wire.ActFail
 	case decide.ActCancel:
-		w.Code = wire.ActCancel
+		record.Code = wire.ActCancel
 	case decide.ActTimer:
-		w.Code = wire.ActRemind
+		record.Code = wire.ActTimer
 	case decide.ActProbe:
-		w.Code = wire.ActProbe
+		record.Code = wire.ActProbe
 	case decide.ActClose:
-		w.Code = wire.ActClose
+		record.Code = wire.ActClose
 	case decide.ActWatch:
-		w.Code, w.On = wire.ActListen, true
+		record.Code, record.Subscribe = wire.ActWatch, true
 	case decide.ActFetch:
-		w.Code = wire.ActRead
+		record.Code = wire.ActFetch
 	case decide.ActLog:
-		w.Code = wire.ActLog
+		record.Code = wire.ActLog
 	default:
-		return w, false
+		return record, false
 	}
-	return w, true
+	return record, true
 }
 
-// start makes an instance from its settings text.
-func start(e *wire.Event) (*relay, error) {
-	s, err := wire.ParseSettings(e.Text)
+// newRelay creates a relay from the settings text and the seed of an EvStart record.
+func newRelay(record *wire.Event) (*relay, error) {
+	parsed, err := wire.ParseSettings(record.Text)
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings.Policy(s)
+	policySettings, err := settings.Policy(parsed)
 	if err != nil {
 		return nil, err
 	}
-	p, err := decide.New(set, e.Token)
+	policy, err := decide.New(policySettings, record.Token)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &relay{policy: p, left: -1, to: -1}
-	for i, f := range s.Report.Fields {
-		switch f {
+	r := &relay{policy: policy, leftField: -1, limitField: -1}
+	for i, field := range parsed.Report.Fields {
+		switch field {
 		case "x0":
-			r.left = i
+			r.leftField = i
 		case "x1":
-			r.to = i
+			r.limitField = i
 		}
 	}
 	return r, nil
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,7 @@
-// Command benchlink hosts one policy for each relay and carries frames on
-// standard input and output to it and back. It decides nothing.
+// Command benchlink is the adapter between the simulator and package decide. It
+// hosts a policy for each simulated relay, reads frames of events on standard
+// input, and writes a frame of the resulting actions to standard output for
+// each. It contains no policy of its own.
 package main
 
 import (
@@ -20,11 +22,11 @@
 	}
 }
 
-// serve answers frames until the input ends; a clean end gives nil.
+// serve replies to frames until the input ends. It returns nil if the input ends between two frames.
 func serve(in io.Reader, out *bufio.Writer) error {
 	h := newHost()
 	for n := 0; ; n++ {
-		reply, err := h.turn(in)
+		reply, err := h.handleBatch(in)
 		if err == io.EOF {
 			return nil
 		}
--- a/internal/ci/verdict/main.go
+++ b/internal/ci/verdict/main.go
@@ -1,12 +1,13 @@
-// Command verdict reads what the fuzz targets and `go test ./...` printed and how they exited, and
-// says whether a run of CI passes: as it exited, but for the tests that KNOWN-RED.txt names, which may fail.
+// Command verdict decides whether a CI run passes. It reads the output of the fuzz targets and of
+// `go test ./...`, and their exit code. A run passes if everything passes except the tests listed in
+// KNOWN-RED.txt, which must fail.
 //
 //	verdict KNOWN-RED.txt EXIT-CODE MODULE < OUTPUT
 //
-// A line of the file is `package.Test; cause; issue N`, the package below the module's root
-// (`internal/relay.TestX; ...`). There are three lines at most. A line that lacks a part, a listed
-// test that did not fail, and any failure beside those listed fail the run. Exit codes: 0 passed,
-// 1 failed, 2 wrong call.
+// Each line of the file has the form `package.Test; cause; issue N`, where package is the path below
+// the module's root (`internal/relay.TestX; ...`). The file has at most three lines. The run fails if a
+// line lacks a part, if a listed test did not fail, or if anything else failed. Exit codes: 0 passed,
+// 1 failed, 2 wrong arguments or unreadable input.
 package main
 
 import (
@@ -21,100 +22,105 @@
 	"strings"
 )
 
-const mostRed = 3
+// maxKnownRed is the largest number of tests that KNOWN-RED.txt may list.
+const maxKnownRed = 3
 
-// red is a test that is known to fail.
-type red struct {
+// knownRed is a test that is known to fail, from one line of KNOWN-RED.txt.
+type knownRed struct {
 	pkg, test string
 	line      string
 }
 
 var (
-	redLine  = regexp.MustCompile(`^([\w./-]+)\.(Test\w*)\s*;\s*(\S.*?)\s*;\s*issue \d+$`)
-	failTest = regexp.MustCompile(`--- FAIL: ((?:Test|Fuzz)\w*) \(`) // anywhere: what a test writes may stand before it
-	failFuzz = regexp.MustCompile(`^fuzz: (?:\w+ )?failed$`)         // as .ci/fuzz and .ci/run write it
-	failPkg  = regexp.MustCompile(`^FAIL\s+(\S+)(?:\s+(.*))?$`)
-	okPkg    = regexp.MustCompile(`^(?:ok|\?)\s+(\S+)\s`)
-	broken   = regexp.MustCompile(`^(panic: |fatal error: |signal: |WARNING: DATA RACE)`)
+	knownRedLine = regexp.MustCompile(`^([\w./-]+)\.(Test\w*)\s*;\s*(\S.*?)\s*;\s*issue \d+$`)
+	// testFailed matches anywhere in a line, since output of the test may precede it.
+	testFailed = regexp.MustCompile(`--- FAIL: ((?:Test|Fuzz)\w*) \(`)
+	// fuzzFailed matches lines that .ci/fuzz and .ci/run print.
+	fuzzFailed    = regexp.MustCompile(`^fuzz: (?:\w+ )?failed$`)
+	packageFailed = regexp.MustCompile(`^FAIL\s+(\S+)(?:\s+(.*))?$`)
+	packagePassed = regexp.MustCompile(`^(?:ok|\?)\s+(\S+)\s`)
+	crashLine     = regexp.MustCompile(`^(panic: |fatal error: |signal: |WARNING: DATA RACE)`)
 )
 
-// readRed reads the list; an empty one where there is none.
-func readRed(text string) ([]red, error) {
-	var list []red
+// parseKnownRed parses the text of KNOWN-RED.txt, which may be empty.
+func parseKnownRed(text string) ([]knownRed, error) {
+	var list []knownRed
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if line == "" {
 			continue
 		}
-		m := redLine.FindStringSubmatch(line)
-		if m == nil {
+		match := knownRedLine.FindStringSubmatch(line)
+		if match == nil {
 			return nil, fmt.Errorf("KNOWN-RED.txt: %q is no `package.Test; cause; issue N`", line)
 		}
-		list = append(list, red{m[1], m[2], line})
+		list = append(list, knownRed{match[1], match[2], line})
 	}
-	if len(list) > mostRed {
-		return nil, fmt.Errorf("KNOWN-RED.txt: %d lines, %d at most", len(list), mostRed)
+	if len(list) > maxKnownRed {
+		return nil, fmt.Errorf("KNOWN-RED.txt: %d lines, %d at most", len(list), maxKnownRed)
 	}
 	return list, nil
 }
 
-// judge returns what speaks against a run that printed output and exited with code.
-func judge(list []red, module, output string, code int) []string {
-	var against []string
-	left := slices.Clone(list)
+// findProblems returns the reasons for which a run fails, given what it printed and its exit code. It returns
+// none for a run that passes.
+func findProblems(list []knownRed, module, output string, code int) []string {
+	var problems []string
+	unmatched := slices.Clone(list)
 	packages := 0
-	var failed []string // top-level tests since the last package's line
-	dead := ""
+	var failedTests []string // top-level tests that failed in the current package
+	crash := ""              // the line that reports a panic, a signal or a data race in the current package
 	for line := range strings.Lines(output) {
 		line = strings.TrimRight(line, "\r\n")
-		for _, m := range failTest.FindAllStringSubmatch(line, -1) {
-			failed = append(failed, m[1])
+		for _, match := range testFailed.FindAllStringSubmatch(line, -1) {
+			failedTests = append(failedTests, match[1])
 		}
-		if broken.MatchString(line) {
-			dead = line
+		if crashLine.MatchString(line) {
+			crash = line
 		}
-		if failFuzz.MatchString(line) {
-			against = append(against, line)
+		if fuzzFailed.MatchString(line) {
+			problems = append(problems, line)
 		}
-		if okPkg.MatchString(line) {
+		if packagePassed.MatchString(line) {
 			packages++
-			failed, dead = nil, ""
+			failedTests, crash = nil, ""
 			continue
 		}
-		m := failPkg.FindStringSubmatch(line)
-		if m == nil {
+		match := packageFailed.FindStringSubmatch(line)
+		if match == nil {
 			continue
 		}
 		packages++
-		pkg := strings.TrimPrefix(m[1], module+"/")
+		pkg := strings.TrimPrefix(match[1], module+"/")
 		switch {
-		case dead != "":
-			against = append(against, fmt.Sprintf("%s: %s", pkg, dead))
-		case len(failed) == 0:
-			against = append(against, fmt.Sprintf("%s failed, and no test says so: %s", pkg, m[2]))
+		case crash != "":
+			problems = append(problems, fmt.Sprintf("%s: %s", pkg, crash))
+		case len(failedTests) == 0:
+			problems = append(problems, fmt.Sprintf("%s failed, and no test says so: %s", pkg, match[2]))
 		}
-		for _, test := range failed {
-			at := slices.IndexFunc(left, func(r red) bool { return r.pkg == pkg && r.test == test })
-			if at < 0 {
-				against = append(against, fmt.Sprintf("%s.%s failed", pkg, test))
+		for _, test := range failedTests {
+			index := slices.IndexFunc(unmatched, func(r knownRed) bool { return r.pkg == pkg && r.test == test })
+			if index < 0 {
+				problems = append(problems, fmt.Sprintf("%s.%s failed", pkg, test))
 				continue
 			}
-			left = slices.Delete(left, at, at+1)
+			unmatched = slices.Delete(unmatched, index, index+1)
 		}
-		failed, dead = nil, ""
+		failedTests, crash = nil, ""
 	}
-	for _, r := range left {
-		against = append(against, fmt.Sprintf("%s.%s is listed as red and did not fail", r.pkg, r.test))
+	for _, r := range unmatched {
+		problems = append(problems, fmt.Sprintf("%s.%s is listed as red and did not fail", r.pkg, r.test))
 	}
 	switch {
 	case packages == 0:
-		against = append(against, "no package was tested")
-	case code != 0 && len(list) == 0 && len(against) == 0:
-		against = append(against, fmt.Sprintf("the tests exited with %d", code))
+		problems = append(problems, "no package was tested")
+	case code != 0 && len(list) == 0 && len(problems) == 0:
+		problems = append(problems, fmt.Sprintf("the tests exited with %d", code))
 	}
-	return against
+	return problems
 }
 
+// run reads the list of known failures and the output of the tests, prints the verdict, and returns the exit code.
 func run(args []string, in io.Reader, out io.Writer) (int, error) {
 	if len(args) != 3 {
 		return 2, errors.New("usage: verdict KNOWN-RED.txt EXIT-CODE MODULE < OUTPUT")
@@ -127,7 +133,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return 2, err
 	}
-	list, err := readRed(string(text))
+	list, err := parseKnownRed(string(text))
 	if err != nil {
 		return 1, err
 	}
@@ -138,11 +144,11 @@
 	for _, r := range list {
 		fmt.Fprintln(out, "known red:", r.line)
 	}
-	against := judge(list, args[2], string(output), code)
-	for _, s := range against {
+	problems := findProblems(list, args[2], string(output), code)
+	for _, s := range problems {
 		fmt.Fprintln(out, "verdict:", s)
 	}
-	if len(against) > 0 {
+	if len(problems) > 0 {
 		return 1, nil
 	}
 	fmt.Fprintf(out, "verdict: passed, %d known red\n", len(list))
--- a/internal/ci/wallclock/wallclock.go
+++ b/internal/ci/wallclock/wallclock.go
@@ -1,6 +1,6 @@
-// Package wallclock finds code that tells the time other than by package clock. A moment of the
-// wall clock, or one whose monotonic reading was dropped, moves as the machine's clock is stepped:
-// no deadline, window, wait or age may rest on one.
+// Package wallclock finds code that reads the time without package clock. A time of the wall clock, or
+// one without its monotonic reading, jumps when the machine's clock is stepped, so no deadline, window,
+// delay or age may depend on it.
 package wallclock
 
 import (
@@ -14,42 +14,44 @@
 	"strings"
 )
 
-// functions of package time that make a moment other than by a monotonic clock that is injected.
-var functions = []string{"Now", "Since", "Until", "Unix", "UnixMilli", "UnixMicro", "Date", "Parse", "ParseInLocation"}
+// forbiddenFunctions are the functions of package time that return a time, or compare with one, that does
+// not come from the injected monotonic clock.
+var forbiddenFunctions = []string{"Now", "Since", "Until", "Unix", "UnixMilli", "UnixMicro", "Date", "Parse",
+	"ParseInLocation"}
 
-// methods of time.Time that read the wall clock or drop the monotonic reading.
-var methods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "UTC", "Local", "In", "AddDate"}
+// forbiddenMethods are the methods of time.Time that return the wall clock time or drop the monotonic reading.
+var forbiddenMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "UTC", "Local", "In", "AddDate"}
 
-// roundings drop the monotonic reading where they are called with 0, which is how that is asked
-// for. Other types have methods of the same names.
-var roundings = []string{"Round", "Truncate"}
+// roundingMethods are the methods of time.Time that drop the monotonic reading. Only calls with the
+// argument 0 are reported, which do nothing else; other types have methods of the same names.
+var roundingMethods = []string{"Round", "Truncate"}
 
-// clockCalls are the calls of package clock that read the wall clock.
-var clockCalls = []string{"Wall"}
+// forbiddenClockCalls are the methods of package clock that read the wall clock.
+var forbiddenClockCalls = []string{"Wall"}
 
-// Finding is a place that tells the time in a way that is not allowed.
+// Finding is a place in the source that reads the time in a way that is not allowed.
 type Finding struct {
 	Position token.Position
-	Call     string
+	Call     string // as in the source, such as "time.Now"
 }
 
 func (f Finding) String() string { return fmt.Sprintf("%s: %s", f.Position, f.Call) }
 
-// Files lists the Go files below root, but for tests, test data and the directories that are
-// named as exceptions, each by its path below root.
+// Files returns the paths of the Go files below root, except for tests, test data, hidden directories and
+// the exceptions, which are directories relative to root.
 func Files(root string, exceptions []string) ([]string, error) {
 	var files []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		below, err := filepath.Rel(root, path)
+		relative, err := filepath.Rel(root, path)
 		if err != nil {
 			return err
 		}
 		if d.IsDir() {
-			skip := d.Name() == "testdata" || strings.HasPrefix(d.Name(), ".") && below != "."
-			if skip || slices.Contains(exceptions, filepath.ToSlash(below)) {
+			skip := d.Name() == "testdata" || strings.HasPrefix(d.Name(), ".") && relative != "."
+			if skip || slices.Contains(exceptions, filepath.ToSlash(relative)) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -62,22 +64,22 @@
 	return files, err
 }
 
-// Check reads a Go file and lists what it finds there.
+// Check parses a Go file and returns its findings.
 func Check(path string) ([]Finding, error) {
-	set := token.NewFileSet()
-	file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
 	}
 	timeNames := importNames(file, "time")
-	var found []Finding
+	var findings []Finding
 	add := func(selector *ast.SelectorExpr) {
-		found = append(found, Finding{set.Position(selector.Pos()), written(selector)})
+		findings = append(findings, Finding{fileSet.Position(selector.Pos()), sourceName(selector)})
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.SelectorExpr:
-			if forbidden(n, timeNames) {
+			if isForbidden(n, timeNames) {
 				add(n)
 			}
 		case *ast.CallExpr:
@@ -87,10 +89,10 @@
 		}
 		return true
 	})
-	return found, nil
+	return findings, nil
 }
 
-// importNames are the names under which a file imports a package.
+// importNames returns the names under which a file imports a package.
 func importNames(file *ast.File, path string) []string {
 	var names []string
 	for _, spec := range file.Imports {
@@ -105,25 +107,27 @@
 	return names
 }
 
-// forbidden tells functions of package time, which may also be passed as values, from methods.
-func forbidden(selector *ast.SelectorExpr, timeNames []string) bool {
+// isForbidden reports whether a selector names a forbidden function or method. It also finds functions
+// that are used as values rather than called.
+func isForbidden(selector *ast.SelectorExpr, timeNames []string) bool {
 	name := selector.Sel.Name
 	if x, ok := selector.X.(*ast.Ident); ok && slices.Contains(timeNames, x.Name) {
-		return slices.Contains(functions, name)
+		return slices.Contains(forbiddenFunctions, name)
 	}
-	return slices.Contains(methods, name) || slices.Contains(clockCalls, name)
+	return slices.Contains(forbiddenMethods, name) || slices.Contains(forbiddenClockCalls, name)
 }
 
+// roundsToZero reports whether a call is one of a rounding method with the literal argument 0.
 func roundsToZero(selector *ast.SelectorExpr, args []ast.Expr) bool {
-	if !slices.Contains(roundings, selector.Sel.Name) || len(args) != 1 {
+	if !slices.Contains(roundingMethods, selector.Sel.Name) || len(args) != 1 {
 		return false
 	}
 	literal, ok := args[0].(*ast.BasicLit)
 	return ok && literal.Value == "0"
 }
 
-// written gives a selector as it is written, as far as its names go.
-func written(selector *ast.SelectorExpr) string {
+// sourceName returns a selector as it is in the source, without the operand if that is not a plain name.
+func sourceName(selector *ast.SelectorExpr) string {
 	if x, ok := selector.X.(*ast.Ident); ok {
 		return x.Name + "." + selector.Sel.Name
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -279,7 +279,7 @@
 	for i, x := range s.Classes {
 		c.classes[x.Name] = i
 	}
-	for i, x := range s.Accounts {
+	for i, x := range s.Tenants {
 		c.tenants[x.Name] = i
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings maps the settings text, as the simulator and a deployment
-// both give it, to the words of package decide. It decides nothing.
+// Package settings converts the settings text, which the simulator and the
+// relay's configuration share, to the settings of package decide. It contains
+// no policy.
 package settings
 
 import (
@@ -9,40 +10,49 @@
 	"troutusher/internal/wire"
 )
 
-var repeats = map[string]decide.Repeat{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
+// idempotency maps the values of a class's "repeat" setting.
+var idempotency = map[string]decide.Repeat{
+	"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
 
-// Policy maps the settings text to the interface's words.
-func Policy(s *wire.Settings) (decide.Settings, error) {
-	l, f := &s.Limits, &s.Safety
-	d := decide.Settings{Relays: s.Balancers, Zone: s.Zone, Slots: s.Specifics.CallsOut, MaxHeld: l.MostHeld,
-		MaxAttempts: l.MostTries, Halving: s.Specifics.Late == "halving", OverShareWorth: s.OverShareWorth,
-		WorthByWork: s.ValueBy == "work", RatesListed: s.Weights != "" && s.Weights != "none",
-		Probes: l.Probing, Cancels: l.MayCancel, Copies: l.ParallelTries, RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
-		AskForList: s.Discovery == "on_request", AskEvery: f.AskEvery, ConnectTimeout: l.ConnectTimeout,
-		KeepAlive: l.KeepAlive, Streams: l.StreamsPerConn, Tick: s.Tick, AnswerSlack: f.AnswerSlack,
-		DrainGrace: f.DrainGrace, StartCapacity: f.StartCapacity, RampTime: f.RampTime,
-		OverloadFactor: f.OverloadFactor, FallTime: f.FallTime, KeyRest: f.KeyRest}
-	for i, c := range s.Classes {
-		rep, ok := repeats[c.Repeat]
+// Policy converts the decoded settings text to the settings of a policy. It
+// does not check their ranges.
+func Policy(parsed *wire.Settings) (decide.Settings, error) {
+	limits, safety := &parsed.Limits, &parsed.Safety
+	policy := decide.Settings{Relays: parsed.Relays, Zone: parsed.Zone,
+		Slots: parsed.Specifics.MaxCallsInFlight, MaxHeld: limits.MaxHeld, MaxAttempts: limits.MaxAttempts,
+		Halving: parsed.Specifics.WorthDecay == "halving", OverShareWorth: parsed.OverShareWorth,
+		WorthByWork: parsed.WorthBy == "work",
+		RatesListed: parsed.Weights != "" && parsed.Weights != "none",
+		Probes:      limits.Probing, Cancels: limits.MayCancel, Copies: limits.ParallelAttempts,
+		RetryAfter: limits.RetryAfter, MaxRetryAfter: limits.MaxRetryAfter,
+		AskForList: parsed.Discovery == "on_request", AskEvery: safety.ListMaxAge,
+		ConnectTimeout: limits.ConnectTimeout, KeepAlive: limits.KeepAlive, Streams: limits.StreamsPerConn,
+		Tick: parsed.Tick, AnswerSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace,
+		StartCapacity: safety.StartCapacity, RampTime: safety.RampTime,
+		OverloadFactor: safety.OverloadFactor, FallTime: safety.OverloadTime,
+		KeyRest: safety.OrderedKeyPause}
+	for i, class := range parsed.Classes {
+		classIdempotency, ok := idempotency[class.Idempotency]
 		if !ok {
-			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
+			return policy, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, class.Idempotency)
 		}
-		d.Classes = append(d.Classes, decide.Class{Name: c.Name, Aim: c.Target, Deadline: c.Deadline,
-			Worth: c.Worth, LateWorth: c.LateWorth, Repeat: rep, DedupWindow: c.Window,
-			ZoneOnly: c.Group != "all" && c.Group != "", InOrder: c.Sequential})
+		policy.Classes = append(policy.Classes, decide.Class{Name: class.Name, Aim: class.TargetTime,
+			Deadline: class.Deadline, Worth: class.Worth, LateWorth: class.LateWorth,
+			Repeat: classIdempotency, DedupWindow: class.DedupWindow,
+			ZoneOnly: class.DedupScope != "all" && class.DedupScope != "", InOrder: class.InOrder})
 	}
-	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, decide.Tenant{Name: a.Name, Quota: a.Quota})
+	for _, tenant := range parsed.Tenants {
+		policy.Tenants = append(policy.Tenants, decide.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
-	for i := range s.Kinds {
-		k := decide.Kind{Batch: 1}
-		if i < len(s.Specifics.OwnLimits) {
-			k.Apart = s.Specifics.OwnLimits[i]
+	for i := range parsed.Kinds {
+		kind := decide.Kind{Batch: 1}
+		if i < len(parsed.Specifics.SeparateLimits) {
+			kind.Apart = parsed.Specifics.SeparateLimits[i]
 		}
-		if i < len(s.Specifics.KindBatch) {
-			k.Batch = s.Specifics.KindBatch[i]
+		if i < len(parsed.Specifics.MaxBatch) {
+			kind.Batch = parsed.Specifics.MaxBatch[i]
 		}
-		d.Kinds = append(d.Kinds, k)
+		policy.Kinds = append(policy.Kinds, kind)
 	}
-	return d, nil
+	return policy, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire is the codec of the binary frames and of the settings text
-// that a relay host speaks. It checks every bound and holds no policy.
+// Package wire encodes and decodes the binary frames that the simulator and
+// its relay host exchange, and decodes the settings text. It checks every
+// length, offset and code in a frame, and contains no policy.
 package wire
 
 import (
@@ -11,132 +12,137 @@
 	"math"
 )
 
-// Sizes of the frame's parts.
+// Sizes of the parts of a frame in bytes, and limits on what a frame contains.
 const (
-	batchHeader = 16
-	replyHeader = 8
-	eventSize   = 48
-	actionSize  = 24
-	entrySize   = 24
-	maxList     = 15
-	maxBody     = 1 << 30
+	batchHeaderSize = 16
+	replyHeaderSize = 8
+	eventSize       = 48
+	actionSize      = 24
+	entrySize       = 24
+	maxListNumber   = 15
+	maxBodySize     = 1 << 30 // bytes
 )
 
-// Codes of events.
+// Codes of events, of the kinds of a list update, and of the status of an
+// attempt or a probe. The name in quotes is the protocol's own name of an
+// event, which error messages use.
 const (
-	EvUp         = 10
-	EvSync       = 20
-	EvCall       = 30
-	EvBegun      = 40
-	EvResolved   = 50
-	EvLapsed     = 60
-	EvAlarm      = 70
-	EvHealth     = 80
-	EvDatagram   = 90
-	EvPowerOff   = 100
-	EvTable      = 110
-	SyncCached   = 0
-	SyncFailed   = 1
-	SyncFull     = 3
-	SyncDelta    = 4
-	StatusOK     = 0
-	StatusMoot   = 249
-	StatusCancel = 250
-	StatusReset  = 251
-	StatusNoConn = 252
-	StatusLate   = 253
-	StatusFull   = 254
-	StatusError  = 255
+	EvStart            = 10  // "up": a relay starts with a seed and a settings text
+	EvListUpdate       = 20  // "sync": a relay receives an update of the endpoint list
+	EvMessage          = 30  // "call": a client hands in a message
+	EvResponseStarted  = 40  // the response to an attempt has started to arrive
+	EvOutcome          = 50  // "resolved": an attempt has ended
+	EvWithdraw         = 60  // a message is no longer wanted
+	EvTimer            = 70  // a timer has expired
+	EvProbeResult      = 80  // "health_result": a probe has ended
+	EvDatagram         = 90  // "datagram": a datagram has arrived
+	EvStop             = 100 // a relay stops
+	EvListEntries      = 110 // "table": defines the entries of a numbered list
+	ListCached         = 0   // the whole list, as it was last fetched
+	ListFailed         = 1   // the list could not be fetched
+	ListFull           = 3   // the whole list
+	ListDelta          = 4   // changed entries only
+	StatusOK           = 0
+	StatusNotSent      = 249 // the attempt never left the relay
+	StatusCancelled    = 250
+	StatusReset        = 251 // the connection broke
+	StatusNoConnection = 252
+	StatusTimeout      = 253
+	StatusFull         = 254 // the endpoint rejected the call because of its limit
+	StatusError        = 255 // the endpoint replied with an error
 )
 
 // Codes of actions.
 const (
-	ActDeliver = 20
-	ActRefuse  = 30
-	ActLog     = 40
-	ActListen  = 50
-	ActRemind  = 60
-	ActLose    = 70
-	ActProbe   = 80
-	ActRead    = 90
-	ActBug     = 100
-	ActClose   = 110
-	ActCancel  = 120
+	ActSend   = 20
+	ActRefuse = 30 // refuses a message, with a delay after which the client may retry
+	ActLog    = 40
+	ActWatch  = 50 // subscribes to list updates
+	ActTimer  = 60
+	ActFail   = 70 // gives up a message
+	ActProbe  = 80
+	ActFetch  = 90  // fetches the whole list once
+	ActError  = 100 // reports that the relay could not start
+	ActClose  = 110 // closes the idle connections to an endpoint
+	ActCancel = 120 // cancels an attempt
 )
 
-// Entry is a line of a list.
+// Entry is one endpoint in a list.
 type Entry struct {
-	Endpoint uint64 // four bytes of address and two of port
+	Endpoint uint64 // IPv4 address, then the port in the lowest 16 bits
 	Zone     uint16
 	Kind     uint8
 	Dest     uint16
-	State    uint8
-	Nominal  float32
-	CameUp   uint64
+	State    uint8   // 0 gone, 1 ready, 2 draining
+	Rate     float32 // nominal capacity of the destination in calls per second
+	UpSince  uint64  // microseconds
 }
 
-// Event is one decoded record.
+// Event is one decoded event record. Which fields are set depends on Code.
 type Event struct {
-	Code     uint8
-	Relay    uint16
-	Kind     uint8
-	Sheet    uint8
-	Status   uint8
-	Attempt  uint8
-	Settled  bool
-	Class    uint16
-	Flags    uint16
-	Dest     uint16
-	Ticket   uint32
-	Tenant   uint32
-	Grace    uint32
-	Estimate uint32
-	Note     uint32
-	Took     uint32
-	Endpoint uint64
-	Subject  uint64
-	Token    uint64 // the seed of an EvUp, the version of an EvSync
-	Reports  int
-	Report   [4]float32
-	Text     []byte
-	Entries  []Entry
+	Code           uint8
+	Relay          uint16
+	ListUpdateKind uint8
+	ListNumber     uint8
+	Status         uint8
+	Attempt        uint8
+	Final          bool // no further attempt is needed for the message
+	Class          uint16
+	Flags          uint16 // bit 0: EstimatedCost is set
+	Dest           uint16
+	MessageID      uint32
+	Tenant         uint32
+	TimeLeft       uint32 // microseconds until the message's deadline
+	EstimatedCost  uint32 // microseconds
+	StatusDetail   uint32 // StatusFull: Retry-After in milliseconds; StatusNotSent: 1 if no slot was free
+	Duration       uint32 // microseconds that the attempt or probe took
+	Endpoint       uint64
+	Key            uint64 // 0 for none
+	Token          uint64 // seed of an EvStart, version of an EvListUpdate, token of an EvTimer
+	ReportLen      int    // number of values in Report
+	Report         [4]float32
+	Text           []byte
+	Entries        []Entry
 }
 
-// Action is one record to encode.
+// Action is one action record to encode. Which fields are used depends on Code.
 type Action struct {
-	Code     uint8
-	Relay    uint16
-	Attempt  uint8
-	On       bool
-	Ticket   uint32
-	After    uint32
-	Endpoint uint64
-	At       uint64
-	Token    uint64
-	Text     string
+	Code      uint8
+	Relay     uint16
+	Attempt   uint8
+	Subscribe bool
+	MessageID uint32
+	Delay     uint32 // microseconds
+	Endpoint  uint64
+	TimeoutAt uint64 // microseconds on the relay's clock
+	Token     uint64
+	Text      string
 }
 
-var be = binary.BigEndian
+// bigEndian is the byte order of all numbers in frames.
+var bigEndian = binary.BigEndian
 
-// ReadBatch reads and decodes one frame. A clean end of input gives io.EOF.
-func ReadBatch(r io.Reader) (clock uint64, events []Event, err error) {
-	var head [batchHeader]byte
-	n, err := io.ReadFull(r, head[:])
+// ReadBatch reads and decodes one frame. At the end of the input, between two
+// frames, it returns io.EOF.
+func ReadBatch(input io.Reader) (clock uint64, events []Event, err error) {
+	var header [batchHeaderSize]byte
+	n, err := io.ReadFull(input, header[:])
 	if err == io.EOF {
 		return 0, nil, io.EOF
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("batch header: input ended after %d of %d bytes", n, batchHeader)
+		return 0, nil, fmt.Errorf("batch header: input ended after %d of %d bytes", n, batchHeaderSize)
 	}
-	size, count := be.Uint32(head[8:]), be.Uint32(head[12:])
-	if size > maxBody {
-		return 0, nil, fmt.Errorf("batch header: length %d is over %d", size, maxBody)
+	size, count := bigEndian.Uint32(header[8:]), bigEndian.Uint32(header[12:])
+	if size > maxBodySize {
+		return 0, nil, fmt.Errorf("batch header: length %d is over %d", size, maxBodySize)
 	}
 	if uint64(count)*eventSize > uint64(size) {
 		return 0, nil, fmt.Errorf("batch header: %d records do not fit in %d bytes", count, size)
 	}
-	// Read in bounded steps, so that a corrupt length cannot claim memory the input never fills.
-	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
+	// ReadAll grows its buffer as bytes arrive, so a corrupt length in the header cannot allocate
+	// memory that the input never fills.
+	body, err := io.ReadAll(io.LimitReader(input, int64(size)))
 	if err != nil {
 		return 0, nil, fmt.Errorf("batch body: %w", err)
 	}
@@ -144,10 +150,11 @@
 		return 0, nil, fmt.Errorf("batch body: input ended after %d of %d bytes", len(body), size)
 	}
 	events, err = DecodeEvents(body, int(count))
-	return be.Uint64(head[:]), events, err
+	return bigEndian.Uint64(header[:]), events, err
 }
 
-// DecodeEvents decodes the records and the tail of a frame's body.
+// DecodeEvents decodes the body of a frame: count event records, followed by a
+// tail of lists and texts that the records refer to.
 func DecodeEvents(body []byte, count int) ([]Event, error) {
 	if count < 0 || count > len(body)/eventSize {
 		return nil, fmt.Errorf("batch body: %d records do not fit in %d bytes", count, len(body))
@@ -162,94 +169,105 @@
 	return events, nil
 }
 
-func endpoint(b []byte) uint64 { return uint64(be.Uint32(b))<<16 | uint64(be.Uint16(b[4:])) }
+func decodeEndpoint(b []byte) uint64 {
+	return uint64(bigEndian.Uint32(b))<<16 | uint64(bigEndian.Uint16(b[4:]))
+}
 
-func span(tail, field []byte, unit int) ([]byte, error) {
-	off, n := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))
-	if off > uint64(len(tail)) || n*uint64(unit) > uint64(len(tail))-off {
-		return nil, fmt.Errorf("offset %d and length %d lie outside the tail of %d bytes", off, n, len(tail))
+// tailBytes returns the part of tail that location refers to: an offset in
+// bytes, followed by a number of elements.
+func tailBytes(tail, location []byte, elementSize int) ([]byte, error) {
+	offset, count := uint64(bigEndian.Uint32(location)), uint64(bigEndian.Uint32(location[4:]))
+	if offset > uint64(len(tail)) || count*uint64(elementSize) > uint64(len(tail))-offset {
+		return nil, fmt.Errorf("offset %d and length %d lie outside the tail of %d bytes", offset, count, len(tail))
 	}
-	return tail[off : off+n*uint64(unit)], nil
+	return tail[offset : offset+count*uint64(elementSize)], nil
 }
 
-func (e *Event) report(b []byte) error {
-	e.Reports = int(b[0])
-	if e.Reports > len(e.Report) {
-		return fmt.Errorf("report of %d values, at most %d", e.Reports, len(e.Report))
+// decodeReport decodes a load report: the number of its values, followed by the
+// values.
+func (e *Event) decodeReport(b []byte) error {
+	e.ReportLen = int(b[0])
+	if e.ReportLen > len(e.Report) {
+		return fmt.Errorf("report has %d values, want at most %d", e.ReportLen, len(e.Report))
 	}
 	for i := range e.Report {
-		e.Report[i] = math.Float32frombits(be.Uint32(b[1+4*i:]))
+		e.Report[i] = math.Float32frombits(bigEndian.Uint32(b[1+4*i:]))
 	}
 	return nil
 }
 
-func knownStatus(s uint8) bool { return s == StatusOK || s >= StatusMoot }
+func isKnownStatus(s uint8) bool { return s == StatusOK || s >= StatusNotSent }
 
-func decodeEvent(e *Event, b, tail []byte) (err error) {
-	e.Code = b[0]
-	if e.Code == EvTable {
-		e.Sheet = b[1]
-		if e.Sheet > maxList {
-			return fmt.Errorf("table: list number %d, at most %d", e.Sheet, maxList)
+func decodeEvent(e *Event, record, tail []byte) (err error) {
+	e.Code = record[0]
+	if e.Code == EvListEntries {
+		e.ListNumber = record[1]
+		if e.ListNumber > maxListNumber {
+			return fmt.Errorf("table: list number %d, want at most %d", e.ListNumber, maxListNumber)
 		}
-		raw, err := span(tail, b[2:], entrySize)
+		raw, err := tailBytes(tail, record[2:], entrySize)
 		if err != nil {
 			return fmt.Errorf("table: %w", err)
 		}
 		e.Entries, err = decodeEntries(raw)
 		return err
 	}
-	e.Relay = be.Uint16(b[1:])
+	e.Relay = bigEndian.Uint16(record[1:])
 	switch e.Code {
-	case EvUp:
-		e.Token = be.Uint64(b[3:])
-		if e.Text, err = span(tail, b[11:], 1); err != nil {
+	case EvStart:
+		e.Token = bigEndian.Uint64(record[3:])
+		if e.Text, err = tailBytes(tail, record[11:], 1); err != nil {
 			return fmt.Errorf("up: %w", err)
 		}
-	case EvSync:
-		e.Kind, e.Token, e.Sheet = b[3], be.Uint64(b[4:]), b[12]
-		if e.Kind != SyncCached && e.Kind != SyncFailed && e.Kind != SyncFull && e.Kind != SyncDelta {
-			return fmt.Errorf("sync: unknown kind %d", e.Kind)
+	case EvListUpdate:
+		e.ListUpdateKind, e.Token, e.ListNumber = record[3], bigEndian.Uint64(record[4:]), record[12]
+		if e.ListUpdateKind != ListCached && e.ListUpdateKind != ListFailed &&
+			e.ListUpdateKind != ListFull && e.ListUpdateKind != ListDelta {
+			return fmt.Errorf("sync: unknown kind %d", e.ListUpdateKind)
 		}
-		if e.Kind != SyncFailed && e.Sheet > maxList {
-			return fmt.Errorf("sync: list number %d, at most %d", e.Sheet, maxList)
+		if e.ListUpdateKind != ListFailed && e.ListNumber > maxListNumber {
+			return fmt.Errorf("sync: list number %d, want at most %d", e.ListNumber, maxListNumber)
 		}
-	case EvCall:
-		e.Ticket, e.Subject, e.Grace = be.Uint32(b[3:]), be.Uint64(b[7:]), be.Uint32(b[15:])
-		e.Flags, e.Class = be.Uint16(b[19:]), be.Uint16(b[21:])
-		d := math.Float32frombits(be.Uint32(b[23:]))
-		if !(d >= 0 && d <= math.MaxUint16) || d != float32(uint16(d)) {
-			return fmt.Errorf("call: destination %v is no whole number from 0 to %d", d, math.MaxUint16)
+	case EvMessage:
+		e.MessageID, e.Key, e.TimeLeft =
+			bigEndian.Uint32(record[3:]), bigEndian.Uint64(record[7:]), bigEndian.Uint32(record[15:])
+		e.Flags, e.Class = bigEndian.Uint16(record[19:]), bigEndian.Uint16(record[21:])
+		destination := math.Float32frombits(bigEndian.Uint32(record[23:]))
+		if !(destination >= 0 && destination <= math.MaxUint16) || destination != float32(uint16(destination)) {
+			return fmt.Errorf("call: destination %v is not a whole number from 0 to %d", destination, math.MaxUint16)
 		}
-		e.Dest, e.Tenant, e.Estimate = uint16(d), be.Uint32(b[27:]), be.Uint32(b[31:])
-	case EvBegun:
-		e.Ticket, e.Attempt, e.Endpoint, e.Took = be.Uint32(b[3:]), b[7], endpoint(b[8:]), be.Uint32(b[14:])
-	case EvResolved:
-		e.Ticket, e.Endpoint, e.Attempt = be.Uint32(b[3:]), endpoint(b[7:]), b[13]
-		e.Note, e.Took, e.Status, e.Settled = be.Uint32(b[14:]), be.Uint32(b[18:]), b[22], b[23] != 0
-		if !knownStatus(e.Status) {
+		e.Dest, e.Tenant, e.EstimatedCost =
+			uint16(destination), bigEndian.Uint32(record[27:]), bigEndian.Uint32(record[31:])
+	case EvResponseStarted:
+		e.MessageID, e.Attempt, e.Endpoint, e.Duration =
+			bigEndian.Uint32(record[3:]), record[7], decodeEndpoint(record[8:]), bigEndian.Uint32(record[14:])
+	case EvOutcome:
+		e.MessageID, e.Endpoint, e.Attempt = bigEndian.Uint32(record[3:]), decodeEndpoint(record[7:]), record[13]
+		e.StatusDetail, e.Duration, e.Status, e.Final =
+			bigEndian.Uint32(record[14:]), bigEndian.Uint32(record[18:]), record[22], record[23] != 0
+		if !isKnownStatus(e.Status) {
 			return fmt.Errorf("resolved: unknown status %d", e.Status)
 		}
-		if err := e.report(b[24:]); err != nil {
+		if err := e.decodeReport(record[24:]); err != nil {
 			return fmt.Errorf("resolved: %w", err)
 		}
-	case EvLapsed:
-		e.Ticket = be.Uint32(b[3:])
-	case EvAlarm:
-		e.Token = be.Uint64(b[3:])
-	case EvHealth:
-		e.Endpoint, e.Status, e.Took = endpoint(b[3:]), b[9], be.Uint32(b[10:])
-		if !knownStatus(e.Status) {
+	case EvWithdraw:
+		e.MessageID = bigEndian.Uint32(record[3:])
+	case EvTimer:
+		e.Token = bigEndian.Uint64(record[3:])
+	case EvProbeResult:
+		e.Endpoint, e.Status, e.Duration = decodeEndpoint(record[3:]), record[9], bigEndian.Uint32(record[10:])
+		if !isKnownStatus(e.Status) {
 			return fmt.Errorf("health_result: unknown status %d", e.Status)
 		}
-		if err := e.report(b[14:]); err != nil {
+		if err := e.decodeReport(record[14:]); err != nil {
 			return fmt.Errorf("health_result: %w", err)
 		}
 	case EvDatagram:
-		if e.Text, err = span(tail, b[7:], 1); err != nil {
+		if e.Text, err = tailBytes(tail, record[7:], 1); err != nil {
 			return fmt.Errorf("datagram: %w", err)
 		}
-	case EvPowerOff:
+	case EvStop:
 	default:
 		return fmt.Errorf("unknown event code %d", e.Code)
 	}
@@ -260,8 +278,9 @@
 	entries := make([]Entry, len(raw)/entrySize)
 	for i := range entries {
 		b := raw[i*entrySize:]
-		entries[i] = Entry{Endpoint: endpoint(b), Zone: be.Uint16(b[6:]), Kind: b[8], Dest: be.Uint16(b[9:]),
-			State: b[11], Nominal: math.Float32frombits(be.Uint32(b[12:])), CameUp: be.Uint64(b[16:])}
+		entries[i] = Entry{Endpoint: decodeEndpoint(b), Zone: bigEndian.Uint16(b[6:]), Kind: b[8],
+			Dest: bigEndian.Uint16(b[9:]), State: b[11],
+			Rate: math.Float32frombits(bigEndian.Uint32(b[12:])), UpSince: bigEndian.Uint64(b[16:])}
 		if b[11] > 2 {
 			return nil, fmt.Errorf("table: entry %d: unknown readiness %d", i, b[11])
 		}
@@ -269,125 +288,127 @@
 	return entries, nil
 }
 
-// AppendReply encodes a reply frame.
+// AppendReply appends a reply frame to dst: a header, a record for each action,
+// and a tail of the texts that the records refer to.
 func AppendReply(dst []byte, actions []Action) ([]byte, error) {
-	start := len(dst)
-	dst = append(dst, make([]byte, replyHeader+actionSize*len(actions))...)
-	tailAt := len(dst)
+	frameStart := len(dst)
+	dst = append(dst, make([]byte, replyHeaderSize+actionSize*len(actions))...)
+	tailStart := len(dst)
 	for i := range actions {
 		a := &actions[i]
-		b := dst[start+replyHeader+i*actionSize:][:actionSize]
-		b[0] = a.Code
-		be.PutUint16(b[1:], a.Relay)
+		record := dst[frameStart+replyHeaderSize+i*actionSize:][:actionSize]
+		record[0] = a.Code
+		bigEndian.PutUint16(record[1:], a.Relay)
 		switch a.Code {
-		case ActDeliver:
-			be.PutUint32(b[3:], a.Ticket)
-			putEndpoint(b[7:], a.Endpoint)
-			be.PutUint64(b[13:], a.At)
+		case ActSend:
+			bigEndian.PutUint32(record[3:], a.MessageID)
+			putEndpoint(record[7:], a.Endpoint)
+			bigEndian.PutUint64(record[13:], a.TimeoutAt)
 		case ActRefuse:
-			be.PutUint32(b[3:], a.Ticket)
-			be.PutUint32(b[7:], a.After)
-		case ActLose:
-			be.PutUint32(b[3:], a.Ticket)
+			bigEndian.PutUint32(record[3:], a.MessageID)
+			bigEndian.PutUint32(record[7:], a.Delay)
+		case ActFail:
+			bigEndian.PutUint32(record[3:], a.MessageID)
 		case ActCancel:
-			be.PutUint32(b[3:], a.Ticket)
-			b[7] = a.Attempt
-		case ActRemind:
-			be.PutUint32(b[3:], a.After)
-			be.PutUint64(b[7:], a.Token)
+			bigEndian.PutUint32(record[3:], a.MessageID)
+			record[7] = a.Attempt
+		case ActTimer:
+			bigEndian.PutUint32(record[3:], a.Delay)
+			bigEndian.PutUint64(record[7:], a.Token)
 		case ActProbe, ActClose:
-			putEndpoint(b[3:], a.Endpoint)
-		case ActListen:
-			if a.On {
-				b[3] = 1
+			putEndpoint(record[3:], a.Endpoint)
+		case ActWatch:
+			if a.Subscribe {
+				record[3] = 1
 			}
-		case ActRead:
-		case ActLog, ActBug:
-			be.PutUint32(b[3:], uint32(len(dst)-tailAt))
-			be.PutUint32(b[7:], uint32(len(a.Text)))
+		case ActFetch:
+		case ActLog, ActError:
+			bigEndian.PutUint32(record[3:], uint32(len(dst)-tailStart))
+			bigEndian.PutUint32(record[7:], uint32(len(a.Text)))
 			dst = append(dst, a.Text...)
 		default:
 			return nil, fmt.Errorf("unknown action code %d", a.Code)
 		}
 	}
-	be.PutUint32(dst[start:], uint32(len(dst)-start-replyHeader))
-	be.PutUint32(dst[start+4:], uint32(len(actions)))
+	bigEndian.PutUint32(dst[frameStart:], uint32(len(dst)-frameStart-replyHeaderSize))
+	bigEndian.PutUint32(dst[frameStart+4:], uint32(len(actions)))
 	return dst, nil
 }
 
-func putEndpoint(b []byte, e uint64) {
-	be.PutUint32(b, uint32(e>>16))
-	be.PutUint16(b[4:], uint16(e))
+func putEndpoint(b []byte, endpoint uint64) {
+	bigEndian.PutUint32(b, uint32(endpoint>>16))
+	bigEndian.PutUint16(b[4:], uint16(endpoint))
 }
 
-// Settings is the settings text as it comes. Unknown keys are ignored.
+// Settings is the decoded settings text. Unknown keys are ignored. Times are in
+// microseconds.
 type Settings struct {
-	Accounts []struct {
+	Tenants []struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_per_s"`
 		Share float64 `json:"share"`
 	} `json:"accounts"`
-	Balancers int `json:"balancers"`
-	Classes   []struct {
-		Deadline   int64   `json:"deadline_us"`
-		Window     int64   `json:"dedup_window_us"`
-		Group      string  `json:"group"`
-		LateWorth  float64 `json:"late_worth"`
-		Name       string  `json:"name"`
-		Repeat     string  `json:"repeat"`
-		Sequential bool    `json:"sequential"`
-		Target     int64   `json:"target_us"`
-		Worth      float64 `json:"worth"`
+	Relays  int `json:"balancers"`
+	Classes []struct {
+		Deadline    int64   `json:"deadline_us"`
+		DedupWindow int64   `json:"dedup_window_us"`
+		DedupScope  string  `json:"group"`
+		LateWorth   float64 `json:"late_worth"`
+		Name        string  `json:"name"`
+		Idempotency string  `json:"repeat"`
+		InOrder     bool    `json:"sequential"`
+		TargetTime  int64   `json:"target_us"`
+		Worth       float64 `json:"worth"`
 	} `json:"classes"`
 	Discovery string   `json:"discovery"`
 	Kinds     []string `json:"kinds"`
 	Limits    struct {
-		ConnectTimeout int64 `json:"connect_timeout_us"`
-		KeepAlive      int64 `json:"keepalive_us"`
-		MaxRetryAfter  int64 `json:"max_retry_after_us"`
-		MayCancel      bool  `json:"may_cancel"`
-		MostHeld       int   `json:"most_held"`
-		MostTries      int   `json:"most_tries"`
-		ParallelTries  bool  `json:"parallel_tries"`
-		Probing        bool  `json:"probing"`
-		RetryAfter     bool  `json:"retry_after"`
-		StreamsPerConn int   `json:"streams_per_conn"`
+		ConnectTimeout   int64 `json:"connect_timeout_us"`
+		KeepAlive        int64 `json:"keepalive_us"`
+		MaxRetryAfter    int64 `json:"max_retry_after_us"`
+		MayCancel        bool  `json:"may_cancel"`
+		MaxHeld          int   `json:"most_held"`
+		MaxAttempts      int   `json:"most_tries"`
+		ParallelAttempts bool  `json:"parallel_tries"`
+		Probing          bool  `json:"probing"`
+		RetryAfter       bool  `json:"retry_after"`
+		StreamsPerConn   int   `json:"streams_per_conn"`
 	} `json:"limits"`
 	OverShareWorth float64 `json:"over_share_worth"`
 	Report         struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Safety struct {
-		AnswerSlack    int64   `json:"answer_slack_us"`
-		AskEvery       int64   `json:"ask_every_us"`
-		DrainGrace     int64   `json:"drain_grace_us"`
-		FallTime       int64   `json:"fall_us"`
-		OverloadFactor float64 `json:"overload_factor"`
-		RampTime       int64   `json:"ramp_time_us"`
-		StartCapacity  float64 `json:"start_capacity"`
-		KeyRest        int64   `json:"settle_after_doubt_us"`
+		AnswerSlack     int64   `json:"answer_slack_us"`
+		ListMaxAge      int64   `json:"ask_every_us"`
+		DrainGrace      int64   `json:"drain_grace_us"`
+		OverloadTime    int64   `json:"fall_us"`
+		OverloadFactor  float64 `json:"overload_factor"`
+		RampTime        int64   `json:"ramp_time_us"`
+		StartCapacity   float64 `json:"start_capacity"`
+		OrderedKeyPause int64   `json:"settle_after_doubt_us"`
 	} `json:"safety"`
 	Specifics struct {
-		CallsOut  int    `json:"calls_out"`
-		KindBatch []int  `json:"kind_batch"`
-		Late      string `json:"late"`
-		OwnLimits []bool `json:"own_limits"`
+		MaxCallsInFlight int    `json:"calls_out"`
+		MaxBatch         []int  `json:"kind_batch"`
+		WorthDecay       string `json:"late"`
+		SeparateLimits   []bool `json:"own_limits"`
 	} `json:"specifics"`
 	Tick    int64  `json:"tick_us"`
-	ValueBy string `json:"value_by"`
+	WorthBy string `json:"value_by"`
 	Weights string `json:"weights"`
 	Zone    int    `json:"zone"`
 }
 
-// ParseSettings decodes the settings text.
+// ParseSettings decodes the settings text, which is JSON.
 func ParseSettings(text []byte) (*Settings, error) {
-	s := &Settings{OverShareWorth: 1}
-	if err := json.Unmarshal(text, s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("settings: %s: wrong type %s", te.Field, te.Value)
+	settings := &Settings{OverShareWorth: 1}
+	if err := json.Unmarshal(text, settings); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("settings: %s: wrong type %s", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return s, nil
+	return settings, nil
 }
