--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -21,9 +21,11 @@
 
 // host holds the relays of one simulation, which are independent of each other, and the lists that they share.
 type host struct {
-	relays       map[uint16]*relay
-	lists        [16][]decide.Entry // by list number
-	pending      []uint16           // relays with events in the current batch, in the order of their first event
+	relays  map[uint16]*relay
+	lists   [16][]decide.Entry // by list number
+	pending []uint16           // relays with events in the current batch, in the order of their first event
+
+	// Buffers that are reused from batch to batch.
 	actions      []decide.Action
 	replyActions []wire.Action
 	replyFrame   []byte
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -124,7 +124,7 @@
 	if c.At != "" {
 		spec.Addr = func(int, int) string { return c.At }
 	}
-	fault, err := registry.FaultNamed(c.Fault)
+	fault, err := registry.ParseFault(c.Fault)
 	if err != nil {
 		return errUsage{fmt.Errorf("--fault: %w", err)}
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.Set(registry.Condition{Fault: fault}); err != nil {
+	if err := a.SetCondition(registry.Condition{Fault: fault}); err != nil {
 		return err
 	}
 	log.Info("serving", "addr", a.Addr(), "destinations", c.Destinations)
--- a/internal/rig/experiment/fleet.go
+++ b/internal/rig/experiment/fleet.go
@@ -23,7 +23,7 @@
 	var fault registry.Fault
 	if x.Fleet.Fault != restarted {
 		var err error
-		if fault, err = registry.FaultNamed(x.Fleet.Fault); err != nil {
+		if fault, err = registry.ParseFault(x.Fleet.Fault); err != nil {
 			return fmt.Errorf("fleet.%w, or %s", err, restarted)
 		}
 	}
@@ -64,7 +64,7 @@
 		ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("fleet.within_s: %v are over", x.Fleet.WithinS))
 		defer cancel()
 		f.Expect(revision, relays...)
-		sec, at, began := reg.Second(), reg.Total(0), time.Now()
+		sec, at, began := reg.CurrentSecond(), reg.Total(0), time.Now()
 		if err := do(); err != nil {
 			return err
 		}
@@ -80,23 +80,23 @@
 		}
 		now := reg.Total(0)
 		most := 0
-		for _, s := range reg.Seconds()[min(sec, len(reg.Seconds())):] {
-			most = max(most, s.Asked())
+		for _, s := range reg.CountsBySecond()[min(sec, len(reg.CountsBySecond())):] {
+			most = max(most, s.ListRequests())
 		}
-		figures[name+"_asked"] = float64(now.Asked() - at.Asked())
+		figures[name+"_asked"] = float64(now.ListRequests() - at.ListRequests())
 		figures[name+"_asked_per_s"] = float64(most)
-		figures[name+"_sent_bytes"] = float64(now.SentBytes - now.BeatBytes - at.SentBytes + at.BeatBytes)
+		figures[name+"_sent_bytes"] = float64(now.SentBytes - now.KeepAliveBytes - at.SentBytes + at.KeepAliveBytes)
 		return nil
 	}
 	if err := watch("start", all, 1, func() error { return f.Start(false, all...) }); err != nil {
 		return figures, err
 	}
 	for calm := 0; calm < 2; { // the last of the start's askings are over
-		asked := reg.Total(0).Asked()
+		asked := reg.Total(0).ListRequests()
 		if err := pause(ctx, time.Second); err != nil {
 			return figures, err
 		}
-		if calm++; reg.Total(0).Asked() > asked {
+		if calm++; reg.Total(0).ListRequests() > asked {
 			calm = 0
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 	now := reg.Total(0)
 	figures["ordinary_sent_bytes_per_s"] = float64(now.SentBytes-at.SentBytes) / quiet.Seconds()
-	figures["ordinary_asked_per_s"] = float64(now.Asked()-at.Asked()) / quiet.Seconds()
+	figures["ordinary_asked_per_s"] = float64(now.ListRequests()-at.ListRequests()) / quiet.Seconds()
 	next := catalog.Revision() + 1
 	if err := watch("change", all, next, func() error { catalog.Replace(int(next) % catalog.Len()); return nil }); err != nil {
 		return figures, err
@@ -115,7 +115,7 @@
 	for _, part := range []struct {
 		name   string
 		relays []int
-	}{{"one", []int{0}}, {"rack", spec.Hit(world.Event{Kind: world.Rack})}, {"zone", spec.Hit(world.Event{Kind: world.Zone})}, {"all", all}} {
+	}{{"one", []int{0}}, {"rack", spec.AffectedRelays(world.Event{Kind: world.Rack})}, {"zone", spec.AffectedRelays(world.Event{Kind: world.Zone})}, {"all", all}} {
 		before := reg.Total(0)
 		if x.Fleet.Fault == restarted {
 			f.Stop(part.relays...)
@@ -126,7 +126,7 @@
 		if err := pause(ctx, time.Duration(x.Fleet.DownS*float64(time.Second))); err != nil {
 			return figures, err
 		}
-		figures[part.name+"_asked_while_down"] = float64(reg.Total(0).Asked() - before.Asked())
+		figures[part.name+"_asked_while_down"] = float64(reg.Total(0).ListRequests() - before.ListRequests())
 		err := watch(part.name, part.relays, revision, func() error {
 			if x.Fleet.Fault == restarted {
 				return f.Start(x.Fleet.Known, part.relays...)
--- a/internal/rig/experiment/history.go
+++ b/internal/rig/experiment/history.go
@@ -35,7 +35,7 @@
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	weights := world.NewWeights(size, h.Zipf)
 	total := h.EventsPerS * float64(h.Relays)
-	listed := func(dest int) float64 { return max(total*weights.Of(dest)*h.Headroom, 1) }
+	listed := func(dest int) float64 { return max(total*weights.Share(dest)*h.Headroom, 1) }
 	part := float64(h.Played) / float64(h.Relays)
 	set := hollow.Settings(h.Relays)
 	set.MaxHeld = h.MaxHeld
@@ -44,8 +44,8 @@
 	c.Aim = c.Deadline / 4
 	outages := world.NewOutages(seed, h.DownShare, seconds(h.DownMeanS))
 	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages, Capacity: func(d int) float64 { return listed(d) * part },
-		SilentShare: h.SilentShare, ToldShare: h.ToldShare, ToldWait: seconds(h.ToldWaitS), StartCapacity: set.StartCapacity,
-		RampTime: time.Duration(set.RampTime) * time.Microsecond, OverloadFactor: set.OverloadFactor, FallTime: time.Duration(set.FallTime) * time.Microsecond})
+		NoReplyShare: h.SilentShare, RetryAfterShare: h.ToldShare, RetryAfter: seconds(h.ToldWaitS), StartCapacity: set.StartCapacity,
+		RampTime: time.Duration(set.RampTime) * time.Microsecond, OverloadFactor: set.OverloadFactor, OverloadTime: time.Duration(set.FallTime) * time.Microsecond})
 	began := time.Now()
 	n, err := hollow.RunPath(ctx, hollow.PathOptions{Settings: set, Seed: seed, Relays: h.Played, Rate: h.EventsPerS, Span: seconds(h.Seconds),
 		Weights: weights, Partners: partners, Outages: outages, Capacity: listed, RoundTrip: seconds(h.RoundTripMS / 1000)})
@@ -67,7 +67,7 @@
 		"calls_each_message_to_down":   share(n.CallsDown, n.ToDown),
 		"calls_wasted_each_message":    share(n.Wasted, n.Messages),
 		"messages_each_relay_and_dest": share(n.Messages, n.Seen),
-		"falls":                        float64(partners.Falls),
+		"falls":                        float64(partners.Collapses),
 		"cpu_us_each_message":          float64(time.Since(began).Microseconds()) / float64(max(n.Messages, 1)),
 	}
 	spread(f, "delivery", n.Took)
--- a/internal/rig/experiment/processes.go
+++ b/internal/rig/experiment/processes.go
@@ -261,7 +261,7 @@
 
 // held: so many messages that all destinations have told to wait; then the process is killed and started again.
 func (b *bench) held(size int) (map[string]float64, error) {
-	b.old.Set(partner.Answer{Wait: told})
+	b.old.SetResponse(partner.Response{RetryAfter: told})
 	before, after, err := b.cost(func() error { return b.put("m", size) })
 	if err != nil {
 		return nil, err
@@ -287,7 +287,7 @@
 	// Once more, and now all goes out: waits end with the process that heard of them.
 	b.guard.end(b.relay)
 	from := b.old.Served.Load()
-	b.old.Set(partner.Answer{})
+	b.old.SetResponse(partner.Response{})
 	began := time.Now()
 	if _, err := b.guard.start(b.relay); err != nil {
 		return figures, err
@@ -351,12 +351,12 @@
 		{"reconnect", l.Reconnects, b.reconnects},
 		{"full_list", min(l.Reconnects, 3), func(n int) error {
 			for range n {
-				from := b.reg.Total(0).FirstBytes
-				b.catalog.Forget()
+				from := b.reg.Total(0).FirstLineBytes
+				b.catalog.DropHistory()
 				if err := b.reconnects(1); err != nil {
 					return err
 				}
-				if b.reg.Total(0).FirstBytes-from < int64(b.dests)*endpointsEach*100 {
+				if b.reg.Total(0).FirstLineBytes-from < int64(b.dests)*endpointsEach*100 {
 					return errors.New("the whole list was not sent")
 				}
 			}
@@ -375,7 +375,7 @@
 		now := b.reg.Total(0)
 		figures[op.name+"_cpu_us"] = perOp(before, after, op.count)
 		if op.name == "change" || op.name == "reconnect" || op.name == "full_list" {
-			sent := now.SentBytes - now.BeatBytes - at.SentBytes + at.BeatBytes
+			sent := now.SentBytes - now.KeepAliveBytes - at.SentBytes + at.KeepAliveBytes
 			figures[op.name+"_sent_bytes"] = float64(sent) / float64(op.count)
 		}
 	}
@@ -398,7 +398,7 @@
 
 // toldWaits: so many messages that are told to wait once each and delivered then.
 func (b *bench) toldWaits(n int) error {
-	b.old.Set(partner.Answer{Wait: 2 * time.Second})
+	b.old.SetResponse(partner.Response{RetryAfter: 2 * time.Second})
 	from, served := b.old.Calls.Load(), b.old.Served.Load()
 	if err := b.put("w", n); err != nil {
 		return err
@@ -406,7 +406,7 @@
 	if err := b.until("calls to be told to wait", func() bool { return b.old.Calls.Load()-from >= int64(n) }); err != nil {
 		return err
 	}
-	b.old.Set(partner.Answer{})
+	b.old.SetResponse(partner.Response{})
 	return b.until("delivery after the wait", func() bool { return b.old.Served.Load()-served >= int64(n) })
 }
 
--- a/internal/rig/hollow/fleet.go
+++ b/internal/rig/hollow/fleet.go
@@ -118,7 +118,7 @@
 // Set changes the way to discovery of relays.
 func (f *Fleet) Set(c registry.Condition, relays ...int) error {
 	for _, i := range relays {
-		if err := f.relays[i].Agent.Set(c); err != nil {
+		if err := f.relays[i].Agent.SetCondition(c); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/hollow/fleet_test.go
+++ b/internal/rig/hollow/fleet_test.go
@@ -71,14 +71,14 @@
 	}
 	n := reg.Total(0)
 	most := 0
-	for _, s := range reg.Seconds() {
-		most = max(most, s.Asked())
+	for _, s := range reg.CountsBySecond() {
+		most = max(most, s.ListRequests())
 	}
-	t.Logf("the last after %v; %d askings since the start, at most %d in a second, %d bytes", last, n.Asked()-start.Asked(), most, n.SentBytes-start.SentBytes)
+	t.Logf("the last after %v; %d askings since the start, at most %d in a second, %d bytes", last, n.ListRequests()-start.ListRequests(), most, n.SentBytes-start.SentBytes)
 	if last > told {
 		t.Errorf("in force at the last relay after %v", last)
 	}
-	if asked := n.Asked() - start.Asked(); asked < relays || asked > 6*relays {
+	if asked := n.ListRequests() - start.ListRequests(); asked < relays || asked > 6*relays {
 		t.Errorf("%d askings of %d relays", asked, relays)
 	}
 	if most > 2*relays { // as many as at a start
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	n := reg.Total(0)
-	if n.Lists != before.Lists || n.Watches-before.Watches != 1 || n.FirstBytes-before.FirstBytes > 1000 {
+	if n.Lists != before.Lists || n.Watches-before.Watches != 1 || n.FirstLineBytes-before.FirstLineBytes > 1000 {
 		t.Errorf("a restart with a known list: %+v, before %+v", n, before)
 	}
 }
--- a/internal/rig/hollow/path.go
+++ b/internal/rig/hollow/path.go
@@ -134,7 +134,7 @@
 	}
 	r.last++
 	m := &pathMessage{dest: dest, came: now, out: -1}
-	m.down, _ = p.o.Outages.At(dest, model(now))
+	m.down, _ = p.o.Outages.IsDown(dest, model(now))
 	r.msgs[r.last] = m
 	if p.count.Messages++; m.down {
 		p.count.ToDown++
@@ -214,7 +214,7 @@
 	m.out = m.attempts // a send names no attempt: it is the message's next
 	m.attempts++
 	p.count.Calls++
-	if down, _ := p.o.Outages.At(m.dest, model(now)); down {
+	if down, _ := p.o.Outages.IsDown(m.dest, model(now)); down {
 		p.count.CallsDown++
 	}
 	took := decide.Time(float64(p.o.RoundTrip.Microseconds())*(0.5+p.rng.ExpFloat64()/2)) + 1
@@ -223,17 +223,17 @@
 	switch reply {
 	case partner.Served:
 		e.Outcome, e.Settled = decide.Delivered, true
-	case partner.Busy:
+	case partner.Throttled:
 		p.count.Busy++
 		e.Outcome = decide.Full
-	case partner.Told:
+	case partner.RetryLater:
 		e.Outcome, e.Wait = decide.Full, decide.Time(wait.Microseconds())
-	case partner.Broken:
+	case partner.Failed:
 		e.Outcome = decide.Errored
-	case partner.Mute:
+	case partner.NoReply:
 		e.Outcome = decide.TimedOut
 	}
-	if limit := max(a.At-now, 1); reply == partner.Mute || took > limit {
+	if limit := max(a.At-now, 1); reply == partner.NoReply || took > limit {
 		took, e.Outcome, e.Settled = limit, decide.TimedOut, false
 	}
 	e.Took = took
--- a/internal/rig/hollow/path_test.go
+++ b/internal/rig/hollow/path_test.go
@@ -16,9 +16,9 @@
 	set := Settings(400)
 	weights := world.NewWeights(dests, 0)
 	outages := world.NewOutages(seed, share, time.Minute)
-	listed := func(d int) float64 { return max(400*50*weights.Of(d)*3, 1) }
+	listed := func(d int) float64 { return max(400*50*weights.Share(d)*3, 1) }
 	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages, Capacity: func(d int) float64 { return listed(d) / 100 },
-		SilentShare: 0.5, StartCapacity: set.StartCapacity, RampTime: 13 * time.Second, OverloadFactor: 1.5, FallTime: 2 * time.Second})
+		NoReplyShare: 0.5, StartCapacity: set.StartCapacity, RampTime: 13 * time.Second, OverloadFactor: 1.5, OverloadTime: 2 * time.Second})
 	n, err := RunPath(context.Background(), PathOptions{Settings: set, Seed: seed, Relays: 4, Rate: 50, Span: 30 * time.Second, Weights: weights,
 		Partners: partners, Outages: outages, Capacity: listed, RoundTrip: 30 * time.Millisecond})
 	if err != nil {
--- a/internal/rig/partner/server.go
+++ b/internal/rig/partner/server.go
@@ -1,5 +1,5 @@
-// Package partner stands in for the partner systems that relays send to: as a server on a loopback socket for
-// relays that are processes, and as a model without sockets for hollow ones.
+// Package partner stands in for the destinations that relays send to: as a server on a loopback socket for relays
+// that are processes, and as a model without sockets for relays that are simulated.
 package partner
 
 import (
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// Answer is what a server says to a call; the zero value delivers it at once.
-type Answer struct {
-	Wait  time.Duration // turned away and told to wait so long; 0 for not
-	Hang  bool          // nothing is said until the caller gives up
-	Delay time.Duration // before the answer
+// Response configures how a server replies to a call. The zero value accepts the message at once.
+type Response struct {
+	RetryAfter time.Duration // rejects the call with this Retry-After; 0 for no rejection
+	Hang       bool          // no reply until the caller gives up
+	Delay      time.Duration // delay before the reply
 }
 
-// Server takes calls by the protocol, one message each.
+// Server receives calls of one message each.
 type Server struct {
-	Calls  atomic.Int64 // that have come
-	Served atomic.Int64 // answered as delivered
+	Calls  atomic.Int64 // calls received
+	Served atomic.Int64 // calls whose message was accepted
 	server *http.Server
 	addr   string
 
-	mu     sync.Mutex
-	answer Answer
+	mu       sync.Mutex
+	response Response
 }
 
-// NewServer listens at a free port of 127.0.0.1.
+// NewServer starts a server at a free port of 127.0.0.1.
 func NewServer() (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,24 +42,24 @@
 	return s, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() string { return s.addr }
 
-// Close ends it and all connections to it.
+// Close stops the server and closes its connections.
 func (s *Server) Close() error { return s.server.Close() }
 
-// Set says what calls are answered from here on.
-func (s *Server) Set(a Answer) {
+// SetResponse sets the response to calls from now on.
+func (s *Server) SetResponse(a Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answer = a
+	s.response = a
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	s.Calls.Add(1)
 	s.mu.Lock()
-	a := s.answer
+	a := s.response
 	s.mu.Unlock()
 	if a.Delay > 0 {
 		time.Sleep(a.Delay)
@@ -67,8 +67,8 @@
 	switch {
 	case a.Hang:
 		<-r.Context().Done()
-	case a.Wait > 0:
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64))
+	case a.RetryAfter > 0:
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
 	default:
 		s.Served.Add(1)
--- a/internal/rig/registry/registry.go
+++ b/internal/rig/registry/registry.go
@@ -1,6 +1,7 @@
-// Package registry is a stand-in for discovery, written from the protocol: it serves the whole list, watches and
-// notices over loopback sockets to one agent address for each relay, counts what it is asked and what it sends,
-// and can be cut from any of the relays, refuse, fall silent, be slow, late or torn, and move.
+// Package registry is a stand-in for service discovery that implements its protocol. Each relay reaches it through
+// an agent, which has an address of its own on the loopback interface and serves full lists, watches and notices. The
+// registry counts requests and bytes. Each agent can be given a fault, such as refused connections or torn replies, a
+// limited rate, a delay, or an outdated list.
 package registry
 
 import (
@@ -17,25 +18,25 @@
 	"time"
 )
 
-// Paths and times of the protocol.
+// Paths, intervals and limits of the protocol.
 const (
-	listPath   = "/registry/instances"
-	noticePath = "/reports"
-	beatEvery  = 2 * time.Second // an empty line on a watch on which nothing changes
-	noticeMost = 1 << 20         // bytes of a notice request that are read
+	listPath          = "/registry/instances"
+	noticePath        = "/reports"
+	keepAliveInterval = 2 * time.Second // interval of empty lines on a watch without changes
+	maxNoticeBytes    = 1 << 20         // read limit for the body of a notice request
 )
 
-// Fault is what is wrong between a relay and discovery.
+// Fault is a fault between a relay and discovery.
 type Fault uint8
 
-// Faults.
+// Kinds of fault.
 const (
-	None        Fault = iota
-	Refused           // open connections are reset, new ones refused
-	Silent            // nothing is answered; what is open then is answered when the fault is over
-	Lost              // nothing is answered, and what was asked meanwhile never is
-	Unavailable       // everything new is answered 503
-	Torn              // every list is cut in the middle of a line, its connection closed
+	None        Fault = iota // no fault
+	Refused                  // open connections are reset, new connections are refused
+	Silent                   // no replies; pending requests get their replies when the fault ends
+	Lost                     // no replies, also after the fault for requests that arrived during it
+	Unavailable              // new requests get status 503
+	Torn                     // every list ends in the middle of a line, and its connection is closed
 	numFaults
 )
 
@@ -43,73 +44,73 @@
 
 func (f Fault) String() string { return faultNames[f] }
 
-// FaultNamed finds a fault by its name.
-func FaultNamed(name string) (Fault, error) {
+// ParseFault returns the fault with the given name.
+func ParseFault(name string) (Fault, error) {
 	for i, n := range faultNames {
 		if n == name {
 			return Fault(i), nil
 		}
 	}
-	return None, fmt.Errorf("fault %q, want one of %v", name, faultNames)
+	return None, fmt.Errorf("unknown fault %q, want one of %v", name, faultNames)
 }
 
-// Condition is how a relay's way to discovery is.
+// Condition is the state of the path between a relay and discovery.
 type Condition struct {
 	Fault Fault
-	Delay time.Duration // before each answer begins
-	Rate  int           // bytes a second of an answer; 0 for no limit
-	Lag   time.Duration // how old what the agent knows is
+	Delay time.Duration // before each reply
+	Rate  int           // bytes per second of a reply; 0 for no limit
+	Lag   time.Duration // age of the list that the agent serves
 }
 
-// Count is what was asked and sent.
+// Count counts requests, replies and bytes.
 type Count struct {
-	Conns       int   `json:"conns"`   // connections that came up
-	Lists       int   `json:"lists"`   // askings for the whole list
-	Watches     int   `json:"watches"` // watches opened
-	Notices     int   `json:"notices"` // requests with notices
-	Unanswered  int   `json:"unanswered"`
-	Errors      int   `json:"errors"`       // answered 503
-	ListBytes   int64 `json:"list_bytes"`   // of whole lists that were asked for
-	FirstBytes  int64 `json:"first_bytes"`  // of first lines of watches
-	ChangeBytes int64 `json:"change_bytes"` // of later ones
-	BeatBytes   int64 `json:"beat_bytes"`   // of empty ones
-	SentBytes   int64 `json:"sent_bytes"`   // on the sockets, with all headers
-	ReadBytes   int64 `json:"read_bytes"`
-}
-
-// Asked is the number of askings of a list.
-func (c Count) Asked() int { return c.Lists + c.Watches }
-
-func (c *Count) add(x *Count) {
-	c.Conns += x.Conns
-	c.Lists += x.Lists
-	c.Watches += x.Watches
-	c.Notices += x.Notices
-	c.Unanswered += x.Unanswered
-	c.Errors += x.Errors
-	c.ListBytes += x.ListBytes
-	c.FirstBytes += x.FirstBytes
-	c.ChangeBytes += x.ChangeBytes
-	c.BeatBytes += x.BeatBytes
-	c.SentBytes += x.SentBytes
-	c.ReadBytes += x.ReadBytes
+	Conns          int   `json:"conns"`        // accepted connections
+	Lists          int   `json:"lists"`        // requests for the full list
+	Watches        int   `json:"watches"`      // watches opened
+	Notices        int   `json:"notices"`      // requests that carried notices
+	Unanswered     int   `json:"unanswered"`   // requests that a fault kept waiting
+	Errors         int   `json:"errors"`       // replies with status 503
+	ListBytes      int64 `json:"list_bytes"`   // of full lists that were requested
+	FirstLineBytes int64 `json:"first_bytes"`  // of the first lines of watches
+	ChangeBytes    int64 `json:"change_bytes"` // of later lines of watches
+	KeepAliveBytes int64 `json:"beat_bytes"`   // of empty lines of watches
+	SentBytes      int64 `json:"sent_bytes"`   // on the sockets, including headers
+	ReadBytes      int64 `json:"read_bytes"`
+}
+
+// ListRequests returns the number of requests for a list, including watches.
+func (c Count) ListRequests() int { return c.Lists + c.Watches }
+
+func (c *Count) add(other *Count) {
+	c.Conns += other.Conns
+	c.Lists += other.Lists
+	c.Watches += other.Watches
+	c.Notices += other.Notices
+	c.Unanswered += other.Unanswered
+	c.Errors += other.Errors
+	c.ListBytes += other.ListBytes
+	c.FirstLineBytes += other.FirstLineBytes
+	c.ChangeBytes += other.ChangeBytes
+	c.KeepAliveBytes += other.KeepAliveBytes
+	c.SentBytes += other.SentBytes
+	c.ReadBytes += other.ReadBytes
 }
 
 // Registry serves a catalog.
 type Registry struct {
-	catalog *Catalog
-	began   time.Time
-	server  *http.Server
-	ctx     context.Context
-	cancel  context.CancelFunc
+	catalog   *Catalog
+	startedAt time.Time
+	server    *http.Server
+	ctx       context.Context
+	cancel    context.CancelFunc
 
 	mu      sync.Mutex
-	seconds []Count // since began
+	seconds []Count // counts by second since startedAt
 }
 
-// New makes a registry for a catalog; Close ends it.
+// New creates a registry that serves a catalog until Close is called.
 func New(c *Catalog) *Registry {
-	r := &Registry{catalog: c, began: time.Now()}
+	r := &Registry{catalog: c, startedAt: time.Now()}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve), ReadHeaderTimeout: 10 * time.Second,
 		BaseContext: func(l net.Listener) context.Context {
@@ -118,23 +119,23 @@
 	return r
 }
 
-// Close ends the registry and all its agents.
+// Close stops the registry and all its agents.
 func (r *Registry) Close() error {
 	r.cancel()
 	return r.server.Close()
 }
 
-// Catalog is what is served.
+// Catalog returns the catalog that the registry serves.
 func (r *Registry) Catalog() *Catalog { return r.catalog }
 
-// Seconds are the counts of each second since the registry was made.
-func (r *Registry) Seconds() []Count {
+// CountsBySecond returns the counts of each second since the registry was created.
+func (r *Registry) CountsBySecond() []Count {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Count(nil), r.seconds...)
 }
 
-// Total is the sum of all seconds from one on.
+// Total returns the sum of the counts from the second with the number from.
 func (r *Registry) Total(from int) (sum Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,34 +145,36 @@
 	return sum
 }
 
-// Second is the number of the second that runs now.
-func (r *Registry) Second() int { return int(time.Since(r.began) / time.Second) }
+// CurrentSecond returns the number of whole seconds since the registry was created.
+func (r *Registry) CurrentSecond() int { return int(time.Since(r.startedAt) / time.Second) }
 
-func (r *Registry) count(f func(*Count)) {
-	at := r.Second()
+// addCount updates the counts of the current second.
+func (r *Registry) addCount(update func(*Count)) {
+	second := r.CurrentSecond()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.seconds) <= at {
+	for len(r.seconds) <= second {
 		r.seconds = append(r.seconds, Count{})
 	}
-	f(&r.seconds[at])
+	update(&r.seconds[second])
 }
 
+// agentKey is the context key of the agent that received a request.
 type agentKey struct{}
 
-// Agent is the address at which one relay reaches discovery.
+// Agent serves discovery to one relay, at an address of its own.
 type Agent struct {
 	registry *Registry
 	addr     string
 
 	mu        sync.Mutex
 	condition Condition
-	changed   chan struct{} // closed when the condition changes
-	listener  *listener     // nil while refused
+	changed   chan struct{} // closed at the next change of the condition
+	listener  *listener     // nil while connections are refused
 	conns     map[*conn]bool
 }
 
-// NewAgent opens an address for a relay; an empty one means a free port of 127.0.0.1.
+// NewAgent creates an agent that listens at addr. An empty addr means a free port of 127.0.0.1.
 func (r *Registry) NewAgent(addr string) (*Agent, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -180,6 +183,7 @@
 	return a, a.open()
 }
 
+// open starts to listen at the address of the agent.
 func (a *Agent) open() error {
 	l, err := net.Listen("tcp", a.addr)
 	if err != nil {
@@ -191,18 +195,18 @@
 	return nil
 }
 
-// Addr is where the relay reaches it, also while it refuses.
+// Addr returns the address of the agent, which stays the same while it refuses connections.
 func (a *Agent) Addr() string { return a.addr }
 
-// Condition is how the way to discovery is.
+// Condition returns the current condition.
 func (a *Agent) Condition() Condition {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.condition
 }
 
-// Set changes how the way to discovery is.
-func (a *Agent) Set(c Condition) error {
+// SetCondition changes the condition. The change applies to open connections too.
+func (a *Agent) SetCondition(c Condition) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.condition = c
@@ -213,8 +217,8 @@
 			a.listener.Close()
 			a.listener = nil
 		}
-		for x := range a.conns {
-			x.reset()
+		for connection := range a.conns {
+			connection.reset()
 		}
 		return nil
 	}
@@ -224,40 +228,42 @@
 	return nil
 }
 
-// Reset ends the connections that are open, as a restart of the relay's machine or agent does.
+// Reset resets all open connections, as a restart of the relay's machine or of the agent does.
 func (a *Agent) Reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for x := range a.conns {
-		x.reset()
+	for connection := range a.conns {
+		connection.reset()
 	}
 }
 
-func (a *Agent) now() (Condition, <-chan struct{}) {
+// currentCondition returns the condition and a channel that is closed at its next change.
+func (a *Agent) currentCondition() (Condition, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.condition, a.changed
 }
 
-// listener counts what comes and goes.
+// listener accepts connections to an agent and counts them.
 type listener struct {
 	net.Listener
 	agent *Agent
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	connection, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	x := &conn{Conn: c, agent: l.agent}
+	accepted := &conn{Conn: connection, agent: l.agent}
 	l.agent.mu.Lock()
-	l.agent.conns[x] = true
+	l.agent.conns[accepted] = true
 	l.agent.mu.Unlock()
-	l.agent.registry.count(func(n *Count) { n.Conns++ })
-	return x, nil
+	l.agent.registry.addCount(func(n *Count) { n.Conns++ })
+	return accepted, nil
 }
 
+// conn counts the bytes on a connection to an agent.
 type conn struct {
 	net.Conn
 	agent  *Agent
@@ -267,20 +273,20 @@
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.agent.registry.count(func(x *Count) { x.ReadBytes += int64(n) })
+		c.agent.registry.addCount(func(x *Count) { x.ReadBytes += int64(n) })
 	}
 	return n, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.agent.registry.count(func(x *Count) { x.SentBytes += int64(n) })
+	c.agent.registry.addCount(func(x *Count) { x.SentBytes += int64(n) })
 	return n, err
 }
 
 func (c *conn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		go func() { // the caller may hold the lock
+		go func() { // in a goroutine, since the caller may hold the agent's lock
 			c.agent.mu.Lock()
 			delete(c.agent.conns, c)
 			c.agent.mu.Unlock()
@@ -289,6 +295,7 @@
 	return c.Conn.Close()
 }
 
+// reset closes the connection with a TCP reset.
 func (c *conn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -297,67 +304,68 @@
 }
 
 var (
-	errTorn = errors.New("registry: cut here")
-	errGone = errors.New("registry: never answered")
+	errListTorn      = errors.New("registry: list torn by a fault")
+	errNeverAnswered = errors.New("registry: request lost by a fault")
 )
 
-// serve answers one request.
-func (r *Registry) serve(w http.ResponseWriter, q *http.Request) {
-	a := q.Context().Value(agentKey{}).(*Agent)
+// serve replies to one request.
+func (r *Registry) serve(w http.ResponseWriter, request *http.Request) {
+	agent := request.Context().Value(agentKey{}).(*Agent)
 	switch {
-	case q.Method == http.MethodPost && q.URL.Path == noticePath: // taken even while discovery is down
-		io.Copy(io.Discard, io.LimitReader(q.Body, noticeMost))
-		r.count(func(c *Count) { c.Notices++ })
+	case request.Method == http.MethodPost && request.URL.Path == noticePath: // also while lists are not served
+		io.Copy(io.Discard, io.LimitReader(request.Body, maxNoticeBytes))
+		r.addCount(func(c *Count) { c.Notices++ })
 		w.WriteHeader(http.StatusNoContent)
 		return
-	case q.Method != http.MethodGet || q.URL.Path != listPath:
-		http.NotFound(w, q)
+	case request.Method != http.MethodGet || request.URL.Path != listPath:
+		http.NotFound(w, request)
 		return
 	}
-	watch := q.URL.Query().Get("watch") != ""
-	from, err := strconv.ParseInt(q.URL.Query().Get("from"), 10, 64)
+	watch := request.URL.Query().Get("watch") != ""
+	from, err := strconv.ParseInt(request.URL.Query().Get("from"), 10, 64)
 	if err != nil && watch {
-		from = 0 // then the whole list comes
+		from = 0 // leads to a full list
 	}
-	r.count(func(c *Count) {
+	r.addCount(func(c *Count) {
 		if watch {
 			c.Watches++
 		} else {
 			c.Lists++
 		}
 	})
-	if err := a.await(q.Context()); err != nil {
-		panic(http.ErrAbortHandler) // the connection ends without an answer
+	if err := agent.waitUntilServing(request.Context()); err != nil {
+		panic(http.ErrAbortHandler) // closes the connection without a reply
 	}
-	if a.Condition().Fault == Unavailable {
-		r.count(func(c *Count) { c.Errors++ })
+	if agent.Condition().Fault == Unavailable {
+		r.addCount(func(c *Count) { c.Errors++ })
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	out := &answer{agent: a, to: w, ctx: q.Context()}
+	out := &responseBody{agent: agent, response: w, ctx: request.Context()}
 	out.buf = bufio.NewWriterSize(out, 32<<10)
 	if watch {
-		err = r.watch(out, from)
+		err = r.serveWatch(out, from)
 	} else {
-		rev, _ := r.catalog.at(a.Condition().Lag)
-		err = r.whole(out, rev, func(c *Count) *int64 { return &c.ListBytes })
+		revision, _ := r.catalog.revisionAt(agent.Condition().Lag)
+		err = r.writeFullList(out, revision, func(c *Count) *int64 { return &c.ListBytes })
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// await holds a request until it may be answered, or for ever.
-func (a *Agent) await(ctx context.Context) error {
+// waitUntilServing delays a request until the condition permits a reply, or until the request ends, in which case it
+// returns an error. A request that arrives during the fault Lost waits until it ends.
+func (a *Agent) waitUntilServing(ctx context.Context) error {
 	counted, lost := false, false
 	for {
-		c, changed := a.now()
-		lost = lost || c.Fault == Lost
-		if !lost && c.Fault != Silent {
-			if c.Delay > 0 {
+		condition, changed := a.currentCondition()
+		lost = lost || condition.Fault == Lost
+		if !lost && condition.Fault != Silent {
+			if condition.Delay > 0 {
 				select {
-				case <-time.After(c.Delay):
+				case <-time.After(condition.Delay):
 				case <-ctx.Done():
 					return ctx.Err()
 				}
@@ -366,11 +374,11 @@
 		}
 		if !counted {
 			counted = true
-			a.registry.count(func(c *Count) { c.Unanswered++ })
+			a.registry.addCount(func(counts *Count) { counts.Unanswered++ })
 		}
 		if lost {
 			<-ctx.Done()
-			return errGone
+			return errNeverAnswered
 		}
 		select {
 		case <-changed:
@@ -380,48 +388,48 @@
 	}
 }
 
-// answer writes a body under the agent's condition.
-type answer struct {
-	agent *Agent
-	to    http.ResponseWriter
-	ctx   context.Context
-	buf   *bufio.Writer
-}
-
-func (o *answer) Write(b []byte) (int, error) {
-	done := 0
-	for done < len(b) {
-		c, _ := o.agent.now()
-		part := b[done:]
-		if c.Rate > 0 { // a twentieth of a second at a time
-			part = part[:min(len(part), max(c.Rate/20, 1))]
+// responseBody writes the body of a reply at the rate of the agent's condition.
+type responseBody struct {
+	agent    *Agent
+	response http.ResponseWriter
+	ctx      context.Context
+	buf      *bufio.Writer
+}
+
+func (o *responseBody) Write(b []byte) (int, error) {
+	written := 0
+	for written < len(b) {
+		condition, _ := o.agent.currentCondition()
+		part := b[written:]
+		if condition.Rate > 0 { // the bytes of 50 ms at a time
+			part = part[:min(len(part), max(condition.Rate/20, 1))]
 			select {
-			case <-time.After(time.Duration(len(part)) * time.Second / time.Duration(c.Rate)):
+			case <-time.After(time.Duration(len(part)) * time.Second / time.Duration(condition.Rate)):
 			case <-o.ctx.Done():
-				return done, o.ctx.Err()
+				return written, o.ctx.Err()
 			}
 		}
-		n, err := o.to.Write(part)
-		if done += n; err != nil {
-			return done, err
+		n, err := o.response.Write(part)
+		if written += n; err != nil {
+			return written, err
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
-func (o *answer) flush() error {
+func (o *responseBody) flush() error {
 	if err := o.buf.Flush(); err != nil {
 		return err
 	}
-	return http.NewResponseController(o.to).Flush()
+	return http.NewResponseController(o.response).Flush()
 }
 
-// line writes one line, or half of it where lists are torn.
-func (o *answer) line(b []byte) error {
+// writeLine writes one line, or the first half of it under the fault Torn.
+func (o *responseBody) writeLine(b []byte) error {
 	if o.agent.Condition().Fault == Torn {
 		o.buf.Write(b[:len(b)/2])
 		o.flush()
-		return errTorn
+		return errListTorn
 	}
 	if _, err := o.buf.Write(b); err != nil {
 		return err
@@ -429,79 +437,80 @@
 	return o.flush()
 }
 
-// whole writes the list as of a revision.
-func (r *Registry) whole(o *answer, revision int64, to func(*Count) *int64) error {
-	half, written := r.catalog.Len()/2/batch, 0
-	err := r.catalog.whole(revision, func(b []byte) error {
-		if written++; written > half && o.agent.Condition().Fault == Torn {
-			o.buf.Write(b[:len(b)/2])
-			o.flush()
-			return errTorn
+// writeFullList writes the list as of a revision and adds its bytes to a counter. Under the fault Torn it stops
+// halfway.
+func (r *Registry) writeFullList(out *responseBody, revision int64, counter func(*Count) *int64) error {
+	tearAfter, written := r.catalog.Len()/2/entriesPerWrite, 0
+	err := r.catalog.writeFullList(revision, func(b []byte) error {
+		if written++; written > tearAfter && out.agent.Condition().Fault == Torn {
+			out.buf.Write(b[:len(b)/2])
+			out.flush()
+			return errListTorn
 		}
-		n, err := o.buf.Write(b)
-		r.count(func(c *Count) { *to(c) += int64(n) })
+		n, err := out.buf.Write(b)
+		r.addCount(func(c *Count) { *counter(c) += int64(n) })
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return o.flush()
+	return out.flush()
 }
 
-// watch writes the changes after a revision, and then all further ones, until the connection ends.
-func (r *Registry) watch(o *answer, from int64) error {
-	beat := time.NewTimer(beatEvery)
-	defer beat.Stop()
-	at, first := from, true
+// serveWatch writes the changes after a revision, and then each further change, until the connection ends.
+func (r *Registry) serveWatch(out *responseBody, from int64) error {
+	keepAlive := time.NewTimer(keepAliveInterval)
+	defer keepAlive.Stop()
+	sentRevision, first := from, true
 	for {
-		if err := o.agent.await(o.ctx); err != nil {
+		if err := out.agent.waitUntilServing(out.ctx); err != nil {
 			return err
 		}
-		cond, changed := o.agent.now()
-		rev, news := r.catalog.at(cond.Lag)
-		if first || rev > at {
-			line, ok := r.catalog.since(at, rev)
+		condition, conditionChanged := out.agent.currentCondition()
+		revision, listChanged := r.catalog.revisionAt(condition.Lag)
+		if first || revision > sentRevision {
+			line, ok := r.catalog.deltaLine(sentRevision, revision)
 			var err error
 			if ok {
-				err = o.line(line)
-				r.count(func(c *Count) {
+				err = out.writeLine(line)
+				r.addCount(func(c *Count) {
 					if first {
-						c.FirstBytes += int64(len(line))
+						c.FirstLineBytes += int64(len(line))
 					} else {
 						c.ChangeBytes += int64(len(line))
 					}
 				})
 			} else {
-				err = r.whole(o, rev, func(c *Count) *int64 { return &c.FirstBytes })
+				err = r.writeFullList(out, revision, func(c *Count) *int64 { return &c.FirstLineBytes })
 			}
 			if err != nil {
 				return err
 			}
-			at, first = rev, false
-			beat.Reset(beatEvery)
+			sentRevision, first = revision, false
+			keepAlive.Reset(keepAliveInterval)
 		}
-		var late <-chan time.Time
-		if cond.Lag > 0 {
-			late = time.After(lateStep)
+		var lagPoll <-chan time.Time
+		if condition.Lag > 0 {
+			lagPoll = time.After(lagPollInterval)
 		}
 		select {
-		case <-o.ctx.Done():
-			return o.ctx.Err()
-		case <-news:
-		case <-changed:
-		case <-late:
-		case <-beat.C:
-			if err := o.agent.await(o.ctx); err != nil {
+		case <-out.ctx.Done():
+			return out.ctx.Err()
+		case <-listChanged:
+		case <-conditionChanged:
+		case <-lagPoll:
+		case <-keepAlive.C:
+			if err := out.agent.waitUntilServing(out.ctx); err != nil {
 				return err
 			}
-			if err := o.line([]byte{'\n'}); err != nil {
+			if err := out.writeLine([]byte{'\n'}); err != nil {
 				return err
 			}
-			r.count(func(c *Count) { c.BeatBytes++ })
-			beat.Reset(beatEvery)
+			r.addCount(func(c *Count) { c.KeepAliveBytes++ })
+			keepAlive.Reset(keepAliveInterval)
 		}
 	}
 }
 
-// lateStep is how often an agent that lags looks whether something is old enough.
-const lateStep = 50 * time.Millisecond
+// lagPollInterval is the interval at which a lagging agent checks for changes that are old enough to be served.
+const lagPollInterval = 50 * time.Millisecond
--- a/internal/rig/registry/registry_test.go
+++ b/internal/rig/registry/registry_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-type gotList struct {
+// receivedList is a full list or a line of a watch.
+type receivedList struct {
 	Revision int64
 	Complete bool
 	Members  []struct {
@@ -22,8 +23,8 @@
 	}
 }
 
-// up lists the ids that are up after a list.
-func (l *gotList) up(into map[string]bool) map[string]bool {
+// applyTo adds the endpoints that the list reports as up to a set of ids and removes the others.
+func (l *receivedList) applyTo(into map[string]bool) map[string]bool {
 	for _, m := range l.Members {
 		if into[m.ID] = true; m.Phase != "up" {
 			delete(into, m.ID)
@@ -32,7 +33,8 @@
 	return into
 }
 
-func start(t *testing.T, s Spec) (*Registry, *Agent) {
+// startRegistry starts a registry with one agent.
+func startRegistry(t *testing.T, s Spec) (*Registry, *Agent) {
 	t.Helper()
 	c, err := NewCatalog(s)
 	if err != nil {
@@ -47,23 +49,23 @@
 	return r, a
 }
 
-// fetch gets the whole list.
-func fetch(t *testing.T, a *Agent) gotList {
+// fetchList requests the full list.
+func fetchList(t *testing.T, a *Agent) receivedList {
 	t.Helper()
 	resp, err := http.Get("http://" + a.Addr() + listPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var l gotList
+	var l receivedList
 	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// follow opens a watch; next reads its next line that is not empty.
-func follow(t *testing.T, a *Agent, from string) (next func() (gotList, error)) {
+// openWatch opens a watch; next returns its next line that is not empty.
+func openWatch(t *testing.T, a *Agent, from string) (next func() (receivedList, error)) {
 	t.Helper()
 	resp, err := http.Get("http://" + a.Addr() + listPath + "?watch=1&from=" + from)
 	if err != nil {
@@ -71,7 +73,7 @@
 	}
 	t.Cleanup(func() { resp.Body.Close() })
 	in := bufio.NewReader(resp.Body)
-	return func() (l gotList, err error) {
+	return func() (l receivedList, err error) {
 		for {
 			line, err := in.ReadString('\n')
 			if err != nil {
@@ -84,22 +86,25 @@
 	}
 }
 
-// TestListAndWatch: the list names every destination, a watch brings what changed since its version or else the
-// whole list, and who has followed the changes knows what a new list says.
+// TestListAndWatch: the full list has every destination. A watch delivers the changes since its revision, or the full
+// list if the registry does not know that revision. A client that applied all changes has the same endpoints as a
+// new full list.
 func TestListAndWatch(t *testing.T) {
-	r, a := start(t, Spec{Destinations: 1500, Seed: 7, Shuffled: true})
-	l := fetch(t, a)
+	r, a := startRegistry(t, Spec{Destinations: 1500, Seed: 7, Shuffled: true})
+	l := fetchList(t, a)
 	cells := map[int]int{}
 	for _, m := range l.Members {
 		cells[m.Cell]++
 	}
-	if !l.Complete || l.Revision != 1 || len(l.Members) != 3000 || len(cells) != 1500 || len(l.up(map[string]bool{})) != 3000 {
-		t.Fatalf("revision %d, complete %v, %d members of %d destinations", l.Revision, l.Complete, len(l.Members), len(cells))
+	if !l.Complete || l.Revision != 1 || len(l.Members) != 3000 || len(cells) != 1500 ||
+		len(l.applyTo(map[string]bool{})) != 3000 {
+		t.Fatalf("got revision %d, complete %v, %d members of %d destinations; want 1, true, 3000 up, 1500",
+			l.Revision, l.Complete, len(l.Members), len(cells))
 	}
-	known := l.up(map[string]bool{})
-	next := follow(t, a, "1")
+	known := l.applyTo(map[string]bool{})
+	next := openWatch(t, a, "1")
 	if l, err := next(); err != nil || l.Complete || len(l.Members) != 0 || l.Revision != 1 {
-		t.Fatalf("first line with nothing new: %+v, %v", l, err)
+		t.Fatalf("watch without changes: got first line %+v, error %v; want an empty delta of revision 1", l, err)
 	}
 	r.Catalog().Apply(Change{Index: 5, Phase: Draining}, Change{Index: 6, Phase: Draining})
 	r.Catalog().Replace(9)
@@ -108,38 +113,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rev, known = l.Revision, l.up(known)
+		rev, known = l.Revision, l.applyTo(known)
 	}
-	if l, err := follow(t, a, "2")(); err != nil || l.Revision != 3 || len(l.Members) != 2 {
-		t.Errorf("watch from 2: %+v, %v", l, err)
+	if l, err := openWatch(t, a, "2")(); err != nil || l.Revision != 3 || len(l.Members) != 2 {
+		t.Errorf("watch from 2: got %+v, error %v; want 2 members of revision 3", l, err)
 	}
 	for _, from := range []string{"0", "99", "x"} {
-		if l, err := follow(t, a, from)(); err != nil || !l.Complete || len(l.Members) != 3000 {
-			t.Errorf("watch from %s: complete %v, %d members, %v", from, l.Complete, len(l.Members), err)
+		if l, err := openWatch(t, a, from)(); err != nil || !l.Complete || len(l.Members) != 3000 {
+			t.Errorf("watch from %s: got complete %v, %d members, error %v; want the full list",
+				from, l.Complete, len(l.Members), err)
 		}
 	}
-	again := fetch(t, a)
-	want := again.up(map[string]bool{})
+	again := fetchList(t, a)
+	want := again.applyTo(map[string]bool{})
 	if len(want) != 2998 || len(known) != len(want) {
-		t.Errorf("%d up after the changes, %d in a new list, want 2998", len(known), len(want))
+		t.Errorf("got %d endpoints up after the changes and %d in a new list, want 2998", len(known), len(want))
 	}
 	for id := range want {
 		if !known[id] {
-			t.Fatalf("%s is up and was not told", id)
+			t.Fatalf("%s is up in the new list, but not after the changes", id)
 		}
 	}
-	n := r.Total(0)
-	if n.Lists != 2 || n.Watches != 5 || n.ListBytes < 2*3000*100 || n.SentBytes < n.ListBytes+n.FirstBytes {
-		t.Errorf("counted %+v", n)
+	counts := r.Total(0)
+	if counts.Lists != 2 || counts.Watches != 5 || counts.ListBytes < 2*3000*100 ||
+		counts.SentBytes < counts.ListBytes+counts.FirstLineBytes {
+		t.Errorf("got counts %+v", counts)
 	}
 }
 
-// TestFaults: each fault shows as what it stands for, and is over when it is over.
+// TestFaults: each fault has its effect on requests, and no effect after it ends.
 func TestFaults(t *testing.T) {
-	_, a := start(t, Spec{Destinations: 2000, Seed: 1})
+	_, a := startRegistry(t, Spec{Destinations: 2000, Seed: 1})
 	set := func(c Condition) {
 		t.Helper()
-		if err := a.Set(c); err != nil {
+		if err := a.SetCondition(c); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,24 +164,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := follow(t, a, "1")
+	next := openWatch(t, a, "1")
 	if _, err := next(); err != nil {
 		t.Fatal(err)
 	}
 	set(Condition{Fault: Refused})
 	if _, _, err := get(); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("refused: got error %v, want a refused connection", err)
 	}
 	if _, err := next(); err == nil {
-		t.Error("a watch outlived that its connection was reset")
+		t.Error("a watch survived the reset of its connection")
 	}
 	set(Condition{Fault: Unavailable})
 	if code, _, _ := get(); code != http.StatusServiceUnavailable {
-		t.Errorf("unavailable: status %d", code)
+		t.Errorf("unavailable: got status %d, want 503", code)
 	}
 	set(Condition{Fault: Torn})
 	if code, n, err := get(); code != 200 || err == nil || n < full/3 || n > full*2/3 {
-		t.Errorf("torn: status %d, %d of %d bytes, %v", code, n, full, err)
+		t.Errorf("torn: got status %d, %d of %d bytes, error %v; want 200, about half of the bytes, an error",
+			code, n, full, err)
 	}
 	for _, f := range []Fault{Silent, Lost} {
 		set(Condition{Fault: f})
@@ -182,7 +190,7 @@
 		go func() { _, _, err := get(); got <- err }()
 		for end := time.Now().Add(20 * time.Second); a.registry.Total(0).Unanswered == int(f-Silent); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("never asked")
+				t.Fatal("the request did not arrive within 20s")
 			}
 		}
 		set(Condition{Fault: None})
@@ -190,38 +198,38 @@
 			a.Reset()
 		}
 		if err := <-got; (err == nil) != (f == Silent) {
-			t.Errorf("%v, once it is over: %v", f, err)
+			t.Errorf("%v: got error %v after the fault ended", f, err)
 		}
 	}
 	if code, n, err := get(); code != 200 || n != full || err != nil {
-		t.Errorf("afterwards: status %d, %d of %d bytes, %v", code, n, full, err)
+		t.Errorf("after all faults: got status %d, %d of %d bytes, error %v", code, n, full, err)
 	}
 }
 
-// TestLag: an agent that is late tells of the list as it was.
-func TestLag(t *testing.T) {
-	r, a := start(t, Spec{Destinations: 3, Seed: 1})
-	if err := a.Set(Condition{Lag: time.Hour}); err != nil {
+// TestLaggingAgent: an agent that lags serves the list as it was, and the changes since once it no longer lags.
+func TestLaggingAgent(t *testing.T) {
+	r, a := startRegistry(t, Spec{Destinations: 3, Seed: 1})
+	if err := a.SetCondition(Condition{Lag: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	r.Catalog().Replace(2)
-	if l := fetch(t, a); l.Revision != 1 || len(l.Members) != 6 {
-		t.Errorf("late: %+v", l)
+	if l := fetchList(t, a); l.Revision != 1 || len(l.Members) != 6 {
+		t.Errorf("lagging list: got %+v, want the 6 members of revision 1", l)
 	}
-	next := follow(t, a, "1")
+	next := openWatch(t, a, "1")
 	if l, err := next(); err != nil || len(l.Members) != 0 {
-		t.Errorf("late watch: %+v, %v", l, err)
+		t.Errorf("lagging watch: got %+v, error %v; want an empty delta", l, err)
 	}
-	if err := a.Set(Condition{}); err != nil {
+	if err := a.SetCondition(Condition{}); err != nil {
 		t.Fatal(err)
 	}
 	if l, err := next(); err != nil || l.Revision != 2 || len(l.Members) != 2 {
-		t.Errorf("in time again: %+v, %v", l, err)
+		t.Errorf("watch without lag: got %+v, error %v; want 2 members of revision 2", l, err)
 	}
 }
 
-// BenchmarkWhole makes the longest list.
-func BenchmarkWhole(b *testing.B) {
+// BenchmarkWriteFullList measures writing a list of 880000 destinations, the longest that the rig uses.
+func BenchmarkWriteFullList(b *testing.B) {
 	c, err := NewCatalog(Spec{Destinations: 880000, Seed: 1, Shuffled: true})
 	if err != nil {
 		b.Fatal(err)
@@ -229,7 +237,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		n := 0
-		if err := c.whole(1, func(p []byte) error { n += len(p); return nil }); err != nil {
+		if err := c.writeFullList(1, func(p []byte) error { n += len(p); return nil }); err != nil {
 			b.Fatal(err)
 		}
 		b.SetBytes(int64(n))
--- a/internal/rig/world/world.go
+++ b/internal/rig/world/world.go
@@ -1,5 +1,6 @@
-// Package world draws what happens to a fleet of relays and to the destinations that it sends to, from a seed: the
-// same spec and seed give the same events. Times are of the model; whoever plays them may run faster.
+// Package world generates random events for a fleet of relays and outages of its destinations. The same spec and seed
+// give the same events. Times are simulated: they count from the beginning of the simulation, which may run faster
+// than real time.
 package world
 
 import (
@@ -11,82 +12,84 @@
 	"time"
 )
 
-// Rates are how often things happen, over the whole fleet.
+// Rates holds the rates of events over the whole fleet, and the mean durations of their effects.
 type Rates struct {
-	FailuresPerDay  float64 // machines that vanish
-	RestartsPerDay  float64 // machines restarted or replaced
-	RacksPerYear    float64 // racks or switches
+	FailuresPerDay  float64 // relays whose machine fails
+	RestartsPerDay  float64 // relays that are restarted or replaced
+	RacksPerYear    float64 // failures of a rack or its switch
 	ZonesPerYear    float64
-	RegionsPerYear  float64 // regions that lose each other
-	ConfigsPerDay   float64 // changes of configuration
+	RegionsPerYear  float64 // regions that are cut off from the others
+	ConfigsPerDay   float64 // configuration changes
 	RepairMean      time.Duration
 	RestartMean     time.Duration
 	RackMean        time.Duration
 	ZoneMean        time.Duration
 	RegionCutMean   time.Duration
-	DestinationDown float64       // share of the destinations that is down at any time
-	OutageMean      time.Duration // of one outage of a destination
+	DestinationDown float64       // share of the destinations that are down at any time
+	OutageMean      time.Duration // mean duration of an outage of a destination
 }
 
-// Planned are the rates to design for.
-func Planned() Rates {
-	return Rates{FailuresPerDay: 5, RestartsPerDay: 240, RacksPerYear: 8, ZonesPerYear: 1.5, RegionsPerYear: 4, ConfigsPerDay: 16000,
-		RepairMean: time.Hour, RestartMean: 20 * time.Second, RackMean: 30 * time.Minute, ZoneMean: time.Hour, RegionCutMean: 5 * time.Minute,
+// PlannedRates returns the rates that the relay is designed for.
+func PlannedRates() Rates {
+	return Rates{FailuresPerDay: 5, RestartsPerDay: 240, RacksPerYear: 8, ZonesPerYear: 1.5, RegionsPerYear: 4,
+		ConfigsPerDay: 16000, RepairMean: time.Hour, RestartMean: 20 * time.Second, RackMean: 30 * time.Minute,
+		ZoneMean: time.Hour, RegionCutMean: 5 * time.Minute,
 		DestinationDown: 0.024, OutageMean: 10 * time.Minute}
 }
 
-// Place is where a relay stands.
-type Place struct{ Region, Zone, Rack int }
+// Location is the region, zone and rack of a relay.
+type Location struct{ Region, Zone, Rack int }
 
-// Spec is the fleet.
+// Spec describes a fleet.
 type Spec struct {
 	Relays   int
 	Regions  int
-	Zones    int // of all regions together
+	Zones    int // in all regions together
 	RackSize int // relays in a rack
 	Rates    Rates
 }
 
-// PlaceOf is where a relay stands: zones are dealt out evenly in blocks, and regions over zones.
-func (s *Spec) PlaceOf(relay int) Place {
+// LocationOf returns the location of a relay. Each zone has a block of consecutive relays, each region a block of
+// zones, and all blocks have about the same size.
+func (s *Spec) LocationOf(relay int) Location {
 	zones, regions := max(s.Zones, 1), max(s.Regions, 1)
 	zone := relay * zones / max(s.Relays, 1)
-	return Place{Region: zone * regions / zones, Zone: zone, Rack: relay / max(s.RackSize, 1)}
+	return Location{Region: zone * regions / zones, Zone: zone, Rack: relay / max(s.RackSize, 1)}
 }
 
-// Kind says what happens.
-type Kind uint8
+// EventKind is the kind of an event.
+type EventKind uint8
 
-// Kinds of event.
+// Kinds of event, each with the meaning of Event.Target.
 const (
-	Failure Kind = iota // of relay At
-	Restart             // of relay At
-	Rack                // of rack At
-	Zone                // of zone At
-	Region              // region At is cut off
-	Config              // a change of configuration
+	Failure EventKind = iota // failure of relay Target
+	Restart                  // restart of relay Target
+	Rack                     // outage of rack Target
+	Zone                     // outage of zone Target
+	Region                   // region Target is cut off
+	Config                   // configuration change; Target is 0
 	numKinds
 )
 
 var kindNames = [numKinds]string{"failure", "restart", "rack", "zone", "region", "config"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return kindNames[k] }
 
-// Event is what happens at a moment, and for how long.
+// Event is an event in the fleet.
 type Event struct {
-	Time  time.Duration // since the beginning
-	Kind  Kind
-	At    int
-	Lasts time.Duration
-}
-
-// Hit lists the relays that an event takes away from discovery.
-func (s *Spec) Hit(e Event) (relays []int) {
-	for r := range s.Relays {
-		p := s.PlaceOf(r)
-		if (e.Kind == Failure || e.Kind == Restart) && r == e.At || e.Kind == Rack && p.Rack == e.At ||
-			e.Kind == Zone && p.Zone == e.At || e.Kind == Region && p.Region == e.At {
-			relays = append(relays, r)
+	Time     time.Duration // since the beginning of the simulation
+	Kind     EventKind
+	Target   int
+	Duration time.Duration
+}
+
+// AffectedRelays returns the relays that an event cuts off from discovery.
+func (s *Spec) AffectedRelays(e Event) (relays []int) {
+	for relay := range s.Relays {
+		location := s.LocationOf(relay)
+		if (e.Kind == Failure || e.Kind == Restart) && relay == e.Target || e.Kind == Rack && location.Rack == e.Target ||
+			e.Kind == Zone && location.Zone == e.Target || e.Kind == Region && location.Region == e.Target {
+			relays = append(relays, relay)
 		}
 	}
 	return relays
@@ -94,124 +97,136 @@
 
 const day = 24 * time.Hour
 
-// Draw draws all events of a span, in order of time.
-func (s *Spec) Draw(seed uint64, span time.Duration) []Event {
-	r := &s.Rates
+// DrawEvents returns the random events of a time span, ordered by time.
+func (s *Spec) DrawEvents(seed uint64, span time.Duration) []Event {
+	rates := &s.Rates
 	var events []Event
-	for _, k := range []struct {
-		kind  Kind
-		daily float64
-		of    int
-		mean  time.Duration
-	}{{Failure, r.FailuresPerDay, s.Relays, r.RepairMean}, {Restart, r.RestartsPerDay, s.Relays, r.RestartMean},
-		{Rack, r.RacksPerYear / 365, (s.Relays + max(s.RackSize, 1) - 1) / max(s.RackSize, 1), r.RackMean},
-		{Zone, r.ZonesPerYear / 365, max(s.Zones, 1), r.ZoneMean}, {Region, r.RegionsPerYear / 365, max(s.Regions, 1), r.RegionCutMean},
-		{Config, r.ConfigsPerDay, 1, 0}} {
-		if k.daily <= 0 {
+	for _, process := range []struct {
+		kind    EventKind
+		perDay  float64
+		targets int           // number of possible targets
+		mean    time.Duration // duration
+	}{{Failure, rates.FailuresPerDay, s.Relays, rates.RepairMean},
+		{Restart, rates.RestartsPerDay, s.Relays, rates.RestartMean},
+		{Rack, rates.RacksPerYear / 365, (s.Relays + max(s.RackSize, 1) - 1) / max(s.RackSize, 1), rates.RackMean},
+		{Zone, rates.ZonesPerYear / 365, max(s.Zones, 1), rates.ZoneMean},
+		{Region, rates.RegionsPerYear / 365, max(s.Regions, 1), rates.RegionCutMean},
+		{Config, rates.ConfigsPerDay, 1, 0}} {
+		if process.perDay <= 0 {
 			continue
 		}
-		// Each kind has draws of its own: a change of one rate leaves the others' events alone.
-		rng := rand.New(rand.NewPCG(seed, uint64(k.kind)+1))
-		mean := float64(day) / k.daily
+		// Each kind has a random number generator of its own, so a change of one rate does not change the events of
+		// other kinds.
+		rng := rand.New(rand.NewPCG(seed, uint64(process.kind)+1))
+		mean := float64(day) / process.perDay
 		for at := rng.ExpFloat64() * mean; at < float64(span); at += rng.ExpFloat64() * mean {
-			events = append(events, Event{time.Duration(at), k.kind, rng.IntN(k.of), time.Duration(rng.ExpFloat64() * float64(k.mean))})
+			events = append(events, Event{time.Duration(at), process.kind, rng.IntN(process.targets),
+				time.Duration(rng.ExpFloat64() * float64(process.mean))})
 		}
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return int(a.Time - b.Time) })
 	return events
 }
 
-// Weights are those of destinations by Zipf's law: that of the i-th is 1/(i+1)^exponent, and all together are 1.
-type Weights struct{ upTo []float64 }
+// Weights holds the weights of destinations by Zipf's law: the weight of destination i is proportional to
+// 1/(i+1)^exponent, and the sum of all weights is 1.
+type Weights struct{ cumulative []float64 }
 
-// NewWeights makes the weights of n destinations; an exponent of 0 gives even ones.
+// NewWeights returns the weights of n destinations. An exponent of 0 gives equal weights.
 func NewWeights(n int, exponent float64) *Weights {
 	w := &Weights{make([]float64, n)}
 	sum := 0.0
 	for i := range n {
 		sum += math.Pow(float64(i+1), -exponent)
-		w.upTo[i] = sum
+		w.cumulative[i] = sum
 	}
 	for i := range n {
-		w.upTo[i] /= sum
+		w.cumulative[i] /= sum
 	}
 	return w
 }
 
-// Draw draws a destination by weight.
+// Draw returns a random destination, by weight.
 func (w *Weights) Draw(rng *rand.Rand) int {
-	return min(sort.SearchFloat64s(w.upTo, rng.Float64()), len(w.upTo)-1)
+	return min(sort.SearchFloat64s(w.cumulative, rng.Float64()), len(w.cumulative)-1)
 }
 
-// Of is the weight of a destination.
-func (w *Weights) Of(i int) float64 {
+// Share returns the weight of a destination.
+func (w *Weights) Share(i int) float64 {
 	if i == 0 {
-		return w.upTo[0]
+		return w.cumulative[0]
 	}
-	return w.upTo[i] - w.upTo[i-1]
+	return w.cumulative[i] - w.cumulative[i-1]
 }
 
-// Outages tells which destinations are down, each by turns up and down for drawn times whose means give the share
-// that is down at any time. Only destinations that are asked for are drawn, each with draws of its own.
+// Outages generates outages of destinations. Each destination alternates between up and down for exponentially
+// distributed periods, whose means give the share of destinations that are down at any time. Periods are generated
+// only for destinations that IsDown is called for, from a random number generator for each.
 type Outages struct {
-	seed  uint64
-	share float64
-	mean  float64
-	turns map[int]*turn
+	seed    uint64
+	share   float64
+	mean    float64
+	periods map[int]*period
 }
 
-type turn struct {
+// period is a period in which a destination is up or down.
+type period struct {
 	rng   *rand.Rand
 	down  bool
 	since float64
 	until float64
 }
 
-// NewOutages makes outages with a mean length, of a share of the destinations at any time.
+// NewOutages returns outages with a mean duration, in which a share of the destinations is down at any time.
 func NewOutages(seed uint64, share float64, mean time.Duration) *Outages {
-	return &Outages{seed: seed, share: share, mean: float64(mean), turns: map[int]*turn{}}
-}
-
-// At tells whether a destination is down at a moment, and since when; moments must not go back for one destination.
-func (o *Outages) At(dest int, now time.Duration) (down bool, since time.Duration) {
-	t := o.turns[dest]
-	if t == nil {
-		t = &turn{rng: rand.New(rand.NewPCG(o.seed, uint64(dest)))}
-		t.down = t.rng.Float64() < o.share
-		t.until = o.length(t) // no memory: what is left of a length is distributed as all of it
-		t.since = -1
-		o.turns[dest] = t
+	return &Outages{seed: seed, share: share, mean: float64(mean), periods: map[int]*period{}}
+}
+
+// IsDown reports whether a destination is down at a time, and when its current period began, which is negative for
+// the first one. Calls for one destination must not go back in time.
+func (o *Outages) IsDown(dest int, now time.Duration) (down bool, since time.Duration) {
+	current := o.periods[dest]
+	if current == nil {
+		current = &period{rng: rand.New(rand.NewPCG(o.seed, uint64(dest)))}
+		current.down = current.rng.Float64() < o.share
+		// The exponential distribution is memoryless: the rest of a period is distributed like a whole one.
+		current.until = o.drawLength(current)
+		current.since = -1
+		o.periods[dest] = current
 	}
-	for float64(now) >= t.until {
-		t.down, t.since = !t.down, t.until
-		t.until += o.length(t)
+	for float64(now) >= current.until {
+		current.down, current.since = !current.down, current.until
+		current.until += o.drawLength(current)
 	}
-	return t.down, time.Duration(t.since)
+	return current.down, time.Duration(current.since)
 }
 
-func (o *Outages) length(t *turn) float64 {
+// drawLength returns a random length for a period.
+func (o *Outages) drawLength(current *period) float64 {
 	mean := o.mean
-	if !t.down {
+	if !current.down {
 		if o.share <= 0 {
 			return math.Inf(1)
 		}
 		mean *= (1 - o.share) / o.share
 	}
-	return t.rng.ExpFloat64() * mean
+	return current.rng.ExpFloat64() * mean
 }
 
-// Queue holds what is to happen, by time; ties keep the order in which they came.
+// Queue is a priority queue by time. Values with the same time keep the order in which they were added.
 type Queue[T any] struct {
 	items queue[T]
 	count uint64
 }
 
+// item is a value in a Queue.
 type item[T any] struct {
 	at    int64
 	order uint64
-	what  T
+	value T
 }
 
+// queue implements heap.Interface.
 type queue[T any] []item[T]
 
 func (q queue[T]) Len() int      { return len(q) }
@@ -227,17 +242,17 @@
 	return x
 }
 
-// Add puts in what is to happen at a moment.
-func (q *Queue[T]) Add(at int64, what T) {
+// Add adds a value for a time.
+func (q *Queue[T]) Add(at int64, value T) {
 	q.count++
-	heap.Push(&q.items, item[T]{at, q.count, what})
+	heap.Push(&q.items, item[T]{at, q.count, value})
 }
 
-// Next takes out what comes first; ok is false where nothing is left.
-func (q *Queue[T]) Next() (at int64, what T, ok bool) {
+// Next removes and returns the earliest value. It returns false if the queue is empty.
+func (q *Queue[T]) Next() (at int64, value T, ok bool) {
 	if len(q.items) == 0 {
-		return 0, what, false
+		return 0, value, false
 	}
 	x := heap.Pop(&q.items).(item[T])
-	return x.at, x.what, true
+	return x.at, x.value, true
 }
