--- a/internal/ci/verdict/main.go
+++ b/internal/ci/verdict/main.go
@@ -42,7 +42,7 @@
 	crashLine     = regexp.MustCompile(`^(panic: |fatal error: |signal: |WARNING: DATA RACE)`)
 )
 
-// parseKnownRed parses the text of KNOWN-RED.txt, which may be empty.
+// parseKnownRed parses the text of KNOWN-RED.txt. The text is empty if there is no such file.
 func parseKnownRed(text string) ([]knownRed, error) {
 	var list []knownRed
 	for line := range strings.Lines(text) {
--- a/internal/ci/wallclock/wallclock.go
+++ b/internal/ci/wallclock/wallclock.go
@@ -22,8 +22,8 @@
 // forbiddenMethods are the methods of time.Time that return the wall clock time or drop the monotonic reading.
 var forbiddenMethods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "UTC", "Local", "In", "AddDate"}
 
-// roundingMethods are the methods of time.Time that drop the monotonic reading. Only calls with the
-// argument 0 are reported, which do nothing else; other types have methods of the same names.
+// roundingMethods are the methods of time.Time that drop the monotonic reading and, with the argument 0,
+// do nothing else. Only calls with a literal 0 are reported, since other types have methods of the same names.
 var roundingMethods = []string{"Round", "Truncate"}
 
 // forbiddenClockCalls are the methods of package clock that read the wall clock.
--- a/internal/rig/world/world.go
+++ b/internal/rig/world/world.go
@@ -105,7 +105,7 @@
 		kind    EventKind
 		perDay  float64
 		targets int           // number of possible targets
-		mean    time.Duration // duration
+		mean    time.Duration // mean duration of an event
 	}{{Failure, rates.FailuresPerDay, s.Relays, rates.RepairMean},
 		{Restart, rates.RestartsPerDay, s.Relays, rates.RestartMean},
 		{Rack, rates.RacksPerYear / 365, (s.Relays + max(s.RackSize, 1) - 1) / max(s.RackSize, 1), rates.RackMean},
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -46,8 +46,8 @@
 	StatusNotSent      = 249 // the attempt never left the relay
 	StatusCancelled    = 250
 	StatusReset        = 251 // the connection broke
-	StatusNoConnection = 252
-	StatusTimeout      = 253
+	StatusNoConnection = 252 // no connection in time
+	StatusTimeout      = 253 // no response in time
 	StatusFull         = 254 // the endpoint rejected the call because of its limit
 	StatusError        = 255 // the endpoint replied with an error
 )
