--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -285,7 +285,7 @@
 	for i, entry := range parsed.Classes {
 		c.classes[entry.Name] = i
 	}
-	for i, entry := range parsed.Accounts {
+	for i, entry := range parsed.Tenants {
 		c.tenants[entry.Name] = i
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings maps the settings text, as the simulator and a deployment
-// both give it, to the words of package decide. It decides nothing.
+// Package settings converts the settings text, which the simulator and the
+// relay's configuration share, to the settings of package decide. It contains
+// no policy.
 package settings
 
 import (
@@ -9,40 +10,49 @@
 	"troutusher/internal/wire"
 )
 
-var repeats = map[string]decide.Idempotency{"retryable": decide.Idempotent, "dedup": decide.Deduplicated, "fragile": decide.NonIdempotent}
+// idempotency maps the values of a class's "repeat" setting.
+var idempotency = map[string]decide.Idempotency{
+	"retryable": decide.Idempotent, "dedup": decide.Deduplicated, "fragile": decide.NonIdempotent}
 
-// Policy maps the settings text to the interface's words.
-func Policy(s *wire.Settings) (decide.Settings, error) {
-	l, f := &s.Limits, &s.Safety
-	d := decide.Settings{Relays: s.Balancers, Zone: s.Zone, Slots: s.Specifics.CallsOut, MaxHeld: l.MostHeld,
-		MaxAttempts: l.MostTries, WorthHalves: s.Specifics.Late == "halving", OverShareWorth: s.OverShareWorth,
-		WorthByCost: s.ValueBy == "work", RatesListed: s.Weights != "" && s.Weights != "none",
-		MayProbe: l.Probing, MayCancel: l.MayCancel, ParallelAttempts: l.ParallelTries, RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
-		ListOnRequest: s.Discovery == "on_request", ListMaxAge: f.AskEvery, ConnectTimeout: l.ConnectTimeout,
-		KeepAlive: l.KeepAlive, StreamsPerConn: l.StreamsPerConn, Tick: s.Tick, AnswerSlack: f.AnswerSlack,
-		DrainGrace: f.DrainGrace, StartCapacity: f.StartCapacity, RampTime: f.RampTime,
-		OverloadFactor: f.OverloadFactor, OverloadTime: f.FallTime, OrderedKeyPause: f.KeyRest}
-	for i, c := range s.Classes {
-		rep, ok := repeats[c.Repeat]
+// Policy converts the decoded settings text to the settings of a policy. It
+// does not check their ranges.
+func Policy(parsed *wire.Settings) (decide.Settings, error) {
+	limits, safety := &parsed.Limits, &parsed.Safety
+	policy := decide.Settings{Relays: parsed.Relays, Zone: parsed.Zone,
+		Slots: parsed.Specifics.MaxCallsInFlight, MaxHeld: limits.MaxHeld, MaxAttempts: limits.MaxAttempts,
+		WorthHalves: parsed.Specifics.WorthDecay == "halving", OverShareWorth: parsed.OverShareWorth,
+		WorthByCost: parsed.WorthBy == "work",
+		RatesListed: parsed.Weights != "" && parsed.Weights != "none",
+		MayProbe:    limits.Probing, MayCancel: limits.MayCancel, ParallelAttempts: limits.ParallelAttempts,
+		RetryAfter: limits.RetryAfter, MaxRetryAfter: limits.MaxRetryAfter,
+		ListOnRequest: parsed.Discovery == "on_request", ListMaxAge: safety.ListMaxAge,
+		ConnectTimeout: limits.ConnectTimeout, KeepAlive: limits.KeepAlive, StreamsPerConn: limits.StreamsPerConn,
+		Tick: parsed.Tick, AnswerSlack: safety.AnswerSlack, DrainGrace: safety.DrainGrace,
+		StartCapacity: safety.StartCapacity, RampTime: safety.RampTime,
+		OverloadFactor: safety.OverloadFactor, OverloadTime: safety.OverloadTime,
+		OrderedKeyPause: safety.OrderedKeyPause}
+	for i, class := range parsed.Classes {
+		classIdempotency, ok := idempotency[class.Idempotency]
 		if !ok {
-			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
+			return policy, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, class.Idempotency)
 		}
-		d.Classes = append(d.Classes, decide.Class{Name: c.Name, TargetTime: c.Target, Deadline: c.Deadline,
-			Worth: c.Worth, LateWorth: c.LateWorth, Idempotency: rep, DedupWindow: c.Window,
-			DedupByZone: c.Group != "all" && c.Group != "", InOrder: c.Sequential})
+		policy.Classes = append(policy.Classes, decide.Class{Name: class.Name, TargetTime: class.TargetTime,
+			Deadline: class.Deadline, Worth: class.Worth, LateWorth: class.LateWorth,
+			Idempotency: classIdempotency, DedupWindow: class.DedupWindow,
+			DedupByZone: class.DedupScope != "all" && class.DedupScope != "", InOrder: class.InOrder})
 	}
-	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, decide.Tenant{Name: a.Name, Quota: a.Quota})
+	for _, tenant := range parsed.Tenants {
+		policy.Tenants = append(policy.Tenants, decide.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
-	for i := range s.Kinds {
-		k := decide.DestKind{MaxBatch: 1}
-		if i < len(s.Specifics.OwnLimits) {
-			k.SeparateLimits = s.Specifics.OwnLimits[i]
+	for i := range parsed.Kinds {
+		kind := decide.DestKind{MaxBatch: 1}
+		if i < len(parsed.Specifics.SeparateLimits) {
+			kind.SeparateLimits = parsed.Specifics.SeparateLimits[i]
 		}
-		if i < len(s.Specifics.KindBatch) {
-			k.MaxBatch = s.Specifics.KindBatch[i]
+		if i < len(parsed.Specifics.MaxBatch) {
+			kind.MaxBatch = parsed.Specifics.MaxBatch[i]
 		}
-		d.Kinds = append(d.Kinds, k)
+		policy.Kinds = append(policy.Kinds, kind)
 	}
-	return d, nil
+	return policy, nil
 }
