--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -36,7 +36,7 @@
 }
 
 // errUsage is a fault of flags or files, not of a run.
-type errUsage struct{ error }
+type usageError struct{ error }
 
 type runCmd struct {
 	File  string  `arg:"" help:"The experiment, as TOML."`
@@ -48,30 +48,30 @@
 }
 
 func (c *runCmd) Run(ctx context.Context, log *slog.Logger) error {
-	x, err := experiment.ReadFile(c.File)
+	exp, err := experiment.ReadFile(c.File)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	if c.Seed != nil {
-		x.Seed = *c.Seed
+		exp.Seed = *c.Seed
 	}
 	if len(c.Sizes) > 0 {
 		if slices.Min(c.Sizes) < 1 {
-			return errUsage{fmt.Errorf("--sizes: want 1 or more")}
+			return usageError{fmt.Errorf("--sizes: want 1 or more")}
 		}
-		x.Sizes = c.Sizes
+		exp.Sizes = c.Sizes
 	}
 	if c.Turns != nil {
-		x.Turns = *c.Turns
+		exp.Turns = *c.Turns
 	}
 	if c.Relay != "" {
-		x.Relay.Program = c.Relay
+		exp.Relay.Program = c.Relay
 	}
-	res, err := experiment.Run(ctx, x, log)
-	if res != nil {
-		path, werr := res.Write(c.Out)
-		if werr != nil {
-			return werr
+	result, err := experiment.Run(ctx, exp, log)
+	if result != nil {
+		path, writeErr := result.Write(c.Out)
+		if writeErr != nil {
+			return writeErr
 		}
 		fmt.Println(path)
 	}
@@ -88,7 +88,7 @@
 func (c *reportCmd) Run() error {
 	results, err := experiment.ReadResults(c.Dirs...)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	results = slices.DeleteFunc(results, func(r *experiment.Result) bool {
 		return len(c.Only) > 0 && !slices.Contains(c.Only, r.Experiment.Name)
@@ -126,22 +126,22 @@
 	}
 	fault, err := registry.FaultNamed(c.Fault)
 	if err != nil {
-		return errUsage{fmt.Errorf("--fault: %w", err)}
+		return usageError{fmt.Errorf("--fault: %w", err)}
 	}
 	catalog, err := registry.NewCatalog(spec)
 	if err != nil {
-		return errUsage{fmt.Errorf("--%w", err)}
+		return usageError{fmt.Errorf("--%w", err)}
 	}
-	r := registry.New(catalog)
-	defer r.Close()
-	a, err := r.NewAgent(c.Listen)
+	reg := registry.New(catalog)
+	defer reg.Close()
+	agent, err := reg.NewAgent(c.Listen)
 	if err != nil {
 		return err
 	}
-	if err := a.Set(registry.Condition{Fault: fault}); err != nil {
+	if err := agent.Set(registry.Condition{Fault: fault}); err != nil {
 		return err
 	}
-	log.Info("serving", "addr", a.Addr(), "destinations", c.Destinations)
+	log.Info("serving", "addr", agent.Addr(), "destinations", c.Destinations)
 	var change <-chan time.Time
 	if c.ChangeEvery > 0 {
 		change = time.Tick(c.ChangeEvery)
@@ -149,7 +149,7 @@
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
-			log.Info("served", "counts", r.Total(0))
+			log.Info("served", "counts", reg.Total(0))
 			return nil
 		case <-change:
 			catalog.Replace(i % catalog.Len())
@@ -172,35 +172,35 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	level := slog.LevelInfo
-	if f, ok := stderr.(*os.File); !ok || !terminal(f) { // progress is for those who look on
+	if file, ok := stderr.(*os.File); !ok || !isTerminal(file) { // progress is for those who look on
 		level = slog.LevelWarn
 	}
 	log := slog.New(slog.NewJSONHandler(stderr, &slog.HandlerOptions{Level: level}))
-	var c cli
-	parser, err := kong.New(&c, kong.Name("hollow"), kong.Writers(stdout, stderr), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(log),
+	var flags cli
+	parser, err := kong.New(&flags, kong.Name("hollow"), kong.Writers(stdout, stderr), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(log),
 		kong.Description("Measures how the relay's costs grow with size."))
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
-	k, err := parser.Parse(args)
+	command, err := parser.Parse(args)
 	if err == nil {
-		err = k.Run()
+		err = command.Run()
 	} else {
-		err = errUsage{err}
+		err = usageError{err}
 	}
 	if err == nil {
 		return 0
 	}
 	fmt.Fprintln(stderr, "hollow: "+strings.ReplaceAll(err.Error(), "\n", ": "))
-	if errors.As(err, &errUsage{}) {
+	if errors.As(err, &usageError{}) {
 		return exitUsage
 	}
 	return exitFailed
 }
 
 // terminal reports whether a file is one.
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/internal/rig/experiment/fleet.go
+++ b/internal/rig/experiment/fleet.go
@@ -13,125 +13,136 @@
 )
 
 func init() {
-	register("fleet", "what hollow relays ask of discovery, by their number", playFleet)
+	register("fleet", "requests of hollow relays to discovery, by number of relays", runFleet)
 }
 
-// restarted is the fault that stands for the relays' own restart, not their way to discovery.
-const restarted = "restart"
+// faultRestart is the fault name for a restart of the relays, as opposed to a fault between them and discovery.
+const faultRestart = "restart"
 
-func playFleet(ctx context.Context, x *Experiment, res *Result, _ *guard, log *slog.Logger) error {
+// runFleet measures a fleet of hollow relays at each size. Figures of a size that failed half way are kept.
+func runFleet(ctx context.Context, exp *Experiment, result *Result, _ *resourceLimiter, log *slog.Logger) error {
 	var fault registry.Fault
-	if x.Fleet.Fault != restarted {
+	if exp.Fleet.Fault != faultRestart {
 		var err error
-		if fault, err = registry.FaultNamed(x.Fleet.Fault); err != nil {
-			return fmt.Errorf("fleet.%w, or %s", err, restarted)
+		if fault, err = registry.FaultNamed(exp.Fleet.Fault); err != nil {
+			return fmt.Errorf("fleet.%w, or %s", err, faultRestart)
 		}
 	}
-	for turn := range x.Turns {
-		for _, size := range x.Sizes {
-			figures, err := fleetSize(ctx, x, fault, size, x.Seed+uint64(turn))
+	for turn := range exp.Turns {
+		for _, size := range exp.Sizes {
+			figures, err := measureFleet(ctx, exp, fault, size, exp.Seed+uint64(turn))
 			if len(figures) > 0 {
-				res.add(size, turn, figures)
+				result.add(size, turn, figures)
 			}
 			if err != nil {
 				return fmt.Errorf("size %d: %w", size, err)
 			}
-			log.Info("measured", "experiment", x.Name, "size", size, "turn", turn, "figures", figures)
+			log.Info("measured", "experiment", exp.Name, "size", size, "turn", turn, "figures", figures)
 		}
 	}
 	return nil
 }
 
-// fleetSize plays one size: an ordinary while, a change, and a fault of one relay, a rack, a zone and all.
-func fleetSize(ctx context.Context, x *Experiment, fault registry.Fault, size int, seed uint64) (map[string]float64, error) {
-	spec := world.Spec{Relays: size, Regions: 2, Zones: x.Fleet.Zones, RackSize: x.Fleet.Racks}
-	catalog, err := registry.NewCatalog(registry.Spec{Destinations: x.Relay.Destinations, Seed: seed, Shuffled: x.Relay.Shuffled})
+// measureFleet measures one size: the start of all relays, a period without changes, one change of the list, and then
+// a fault that hits one relay, a rack, a zone and all relays in turn.
+func measureFleet(ctx context.Context, exp *Experiment, fault registry.Fault, size int, seed uint64) (
+	map[string]float64, error) {
+	spec := world.Spec{Relays: size, Regions: 2, Zones: exp.Fleet.Zones, RackSize: exp.Fleet.RackSize}
+	catalog, err := registry.NewCatalog(registry.Spec{Destinations: exp.Relay.Destinations, Seed: seed,
+		Shuffled: exp.Relay.Shuffled})
 	if err != nil {
 		return nil, err
 	}
 	reg := registry.New(catalog)
 	defer reg.Close()
-	f, err := hollow.New(reg, hollow.Options{Spec: spec, Settings: hollow.Settings(size), Seed: seed, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	fleet, err := hollow.New(reg, hollow.Options{Spec: spec, Settings: hollow.Settings(size), Seed: seed,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		return nil, err
 	}
-	all := f.All()
-	defer f.Stop(all...)
+	all := fleet.RelayIndexes()
+	defer fleet.Stop(all...)
 	figures := map[string]float64{}
-	within := time.Duration(x.Fleet.WithinS * float64(time.Second))
-	// watch runs something and counts what is asked and sent until a revision is in force at all relays that it is for.
-	watch := func(name string, relays []int, revision int64, do func() error) error {
-		ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("fleet.within_s: %v are over", x.Fleet.WithinS))
+	timeout := time.Duration(exp.Fleet.TimeoutS * float64(time.Second))
+	// measure runs an operation and waits until the revision is in force at the given relays. It records how long that
+	// takes, and the requests to discovery and the bytes sent by it in that time.
+	measure := func(name string, relays []int, revision int64, operation func() error) error {
+		ctx, cancel := context.WithTimeoutCause(ctx, timeout,
+			fmt.Errorf("fleet.within_s: not finished after %v s", exp.Fleet.TimeoutS))
 		defer cancel()
-		f.Expect(revision, relays...)
-		sec, at, began := reg.Second(), reg.Total(0), time.Now()
-		if err := do(); err != nil {
+		fleet.ExpectRevision(revision, relays...)
+		startSecond, requestsBefore, startedAt := reg.Second(), reg.Total(0), time.Now()
+		if err := operation(); err != nil {
 			return err
 		}
-		times, err := f.Reached(ctx, revision, began, relays...)
+		times, err := fleet.WaitForRevision(ctx, revision, startedAt, relays...)
 		if len(times) > 0 {
-			spread(figures, name, times)
+			addQuantiles(figures, name, times)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		if err := watching(ctx, reg, at, len(relays), name); err != nil {
+		if err := waitForWatches(ctx, reg, requestsBefore, len(relays), name); err != nil {
 			return err
 		}
-		now := reg.Total(0)
-		most := 0
-		for _, s := range reg.Seconds()[min(sec, len(reg.Seconds())):] {
-			most = max(most, s.Asked())
+		requestsAfter := reg.Total(0)
+		maxPerSecond := 0
+		for _, second := range reg.Seconds()[min(startSecond, len(reg.Seconds())):] {
+			maxPerSecond = max(maxPerSecond, second.Asked())
 		}
-		figures[name+"_asked"] = float64(now.Asked() - at.Asked())
-		figures[name+"_asked_per_s"] = float64(most)
-		figures[name+"_sent_bytes"] = float64(now.SentBytes - now.BeatBytes - at.SentBytes + at.BeatBytes)
+		figures[name+"_asked"] = float64(requestsAfter.Asked() - requestsBefore.Asked())
+		figures[name+"_asked_per_s"] = float64(maxPerSecond)
+		figures[name+"_sent_bytes"] = float64(requestsAfter.SentBytes - requestsAfter.BeatBytes - requestsBefore.SentBytes + requestsBefore.BeatBytes)
 		return nil
 	}
-	if err := watch("start", all, 1, func() error { return f.Start(false, all...) }); err != nil {
+	if err := measure("start", all, 1, func() error { return fleet.Start(false, all...) }); err != nil {
 		return figures, err
 	}
-	for calm := 0; calm < 2; { // the last of the start's askings are over
-		asked := reg.Total(0).Asked()
-		if err := pause(ctx, time.Second); err != nil {
+	for quietSeconds := 0; quietSeconds < 2; { // until two seconds pass without a request left over from the start
+		requestCount := reg.Total(0).Asked()
+		if err := sleep(ctx, time.Second); err != nil {
 			return figures, err
 		}
-		if calm++; reg.Total(0).Asked() > asked {
-			calm = 0
+		if quietSeconds++; reg.Total(0).Asked() > requestCount {
+			quietSeconds = 0
 		}
 	}
-	at := reg.Total(0)
-	quiet := time.Duration(x.Fleet.QuietS * float64(time.Second))
-	if err := pause(ctx, quiet); err != nil {
+	requestsBefore := reg.Total(0)
+	idlePeriod := time.Duration(exp.Fleet.IdleS * float64(time.Second))
+	if err := sleep(ctx, idlePeriod); err != nil {
 		return figures, err
 	}
-	now := reg.Total(0)
-	figures["ordinary_sent_bytes_per_s"] = float64(now.SentBytes-at.SentBytes) / quiet.Seconds()
-	figures["ordinary_asked_per_s"] = float64(now.Asked()-at.Asked()) / quiet.Seconds()
-	next := catalog.Revision() + 1
-	if err := watch("change", all, next, func() error { catalog.Replace(int(next) % catalog.Len()); return nil }); err != nil {
+	requestsAfter := reg.Total(0)
+	figures["ordinary_sent_bytes_per_s"] = float64(requestsAfter.SentBytes-requestsBefore.SentBytes) / idlePeriod.Seconds()
+	figures["ordinary_asked_per_s"] = float64(requestsAfter.Asked()-requestsBefore.Asked()) / idlePeriod.Seconds()
+	nextRevision := catalog.Revision() + 1
+	if err := measure("change", all, nextRevision, func() error {
+		catalog.Replace(int(nextRevision) % catalog.Len())
+		return nil
+	}); err != nil {
 		return figures, err
 	}
-	for _, part := range []struct {
+	for _, affected := range []struct {
 		name   string
 		relays []int
-	}{{"one", []int{0}}, {"rack", spec.Hit(world.Event{Kind: world.Rack})}, {"zone", spec.Hit(world.Event{Kind: world.Zone})}, {"all", all}} {
-		before := reg.Total(0)
-		if x.Fleet.Fault == restarted {
-			f.Stop(part.relays...)
-		} else if err := f.Set(registry.Condition{Fault: fault}, part.relays...); err != nil {
+	}{{"one", []int{0}}, {"rack", spec.Hit(world.Event{Kind: world.Rack})},
+		{"zone", spec.Hit(world.Event{Kind: world.Zone})}, {"all", all}} {
+		requestsBefore := reg.Total(0)
+		if exp.Fleet.Fault == faultRestart {
+			fleet.Stop(affected.relays...)
+		} else if err := fleet.SetCondition(registry.Condition{Fault: fault}, affected.relays...); err != nil {
 			return figures, err
 		}
 		revision := catalog.Replace(int(catalog.Revision()) % catalog.Len())
-		if err := pause(ctx, time.Duration(x.Fleet.DownS*float64(time.Second))); err != nil {
+		if err := sleep(ctx, time.Duration(exp.Fleet.DownS*float64(time.Second))); err != nil {
 			return figures, err
 		}
-		figures[part.name+"_asked_while_down"] = float64(reg.Total(0).Asked() - before.Asked())
-		err := watch(part.name, part.relays, revision, func() error {
-			if x.Fleet.Fault == restarted {
-				return f.Start(x.Fleet.Known, part.relays...)
+		figures[affected.name+"_asked_while_down"] = float64(reg.Total(0).Asked() - requestsBefore.Asked())
+		err := measure(affected.name, affected.relays, revision, func() error {
+			if exp.Fleet.Fault == faultRestart {
+				return fleet.Start(exp.Fleet.KnownList, affected.relays...)
 			}
-			return f.Set(registry.Condition{}, part.relays...)
+			return fleet.SetCondition(registry.Condition{}, affected.relays...)
 		})
 		if err != nil {
 			return figures, err
@@ -140,21 +151,21 @@
 	return figures, nil
 }
 
-// watching gives watches that are to be opened after a start the time for it.
-func watching(ctx context.Context, reg *registry.Registry, from registry.Count, relays int, name string) error {
+// waitForWatches waits, after the start only, until each relay has opened its watch.
+func waitForWatches(ctx context.Context, reg *registry.Registry, before registry.Count, relays int, name string) error {
 	if name != "start" {
 		return nil
 	}
-	for reg.Total(0).Watches-from.Watches < relays {
-		if err := pause(ctx, 5*time.Millisecond); err != nil {
-			return fmt.Errorf("%s: watches: %w", name, err)
+	for reg.Total(0).Watches-before.Watches < relays {
+		if err := sleep(ctx, 5*time.Millisecond); err != nil {
+			return fmt.Errorf("%s: waiting for the watches: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// pause waits for a while, or tells why not.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration. If ctx ends earlier, it returns the cause.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return context.Cause(ctx)
--- a/internal/rig/experiment/guard.go
+++ b/internal/rig/experiment/guard.go
@@ -13,112 +13,114 @@
 	"troutusher/internal/rig/process"
 )
 
-// guard bounds a run in time, memory and processes.
-type guard struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	peak   atomic.Int64 // bytes resident at most, of all processes together
+// resourceLimiter ends a run that exceeds its limits of time or memory, and limits the number of relay processes.
+type resourceLimiter struct {
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	peakResident atomic.Int64 // largest resident memory of the rig and its relays together, in bytes
 
-	mu     sync.Mutex
-	relays map[*process.Relay]bool
-	most   int
+	mu        sync.Mutex
+	relays    map[*process.Relay]bool
+	maxRelays int
 }
 
-const guardEvery = 100 * time.Millisecond
+const memoryCheckInterval = 100 * time.Millisecond
 
-func newGuard(ctx context.Context, l *Limits) (*guard, error) {
+// newResourceLimiter starts to watch time and memory. The limiter's context ends when one of them is used up.
+func newResourceLimiter(ctx context.Context, limits *Limits) (*resourceLimiter, error) {
 	total, err := machineMemory()
 	if err != nil {
 		return nil, err
 	}
-	limit := int64(l.MemoryMB) << 20
-	if limit > total/2 {
-		return nil, fmt.Errorf("limits.memory_mb: %d, and half of this machine is %d", l.MemoryMB, total>>21)
+	memoryLimit := int64(limits.MemoryMB) << 20
+	if memoryLimit > total/2 {
+		return nil, fmt.Errorf("limits.memory_mb: %d, want at most %d, half of this machine's memory", limits.MemoryMB, total>>21)
 	}
-	g := &guard{relays: map[*process.Relay]bool{}, most: l.Processes}
-	ctx, stop := context.WithTimeoutCause(ctx, time.Duration(l.Seconds)*time.Second, fmt.Errorf("limits.seconds: %d are over", l.Seconds))
-	g.ctx, g.cancel = context.WithCancelCause(ctx)
+	limiter := &resourceLimiter{relays: map[*process.Relay]bool{}, maxRelays: limits.Processes}
+	ctx, stop := context.WithTimeoutCause(ctx, time.Duration(limits.Seconds)*time.Second,
+		fmt.Errorf("limits.seconds: the run took longer than %d s", limits.Seconds))
+	limiter.ctx, limiter.cancel = context.WithCancelCause(ctx)
 	go func() {
 		defer stop()
-		t := time.NewTicker(guardEvery)
-		defer t.Stop()
+		ticker := time.NewTicker(memoryCheckInterval)
+		defer ticker.Stop()
 		for {
-			if sum := g.resident(); sum > limit {
-				g.cancel(fmt.Errorf("limits.memory_mb: %d, and %d are used", l.MemoryMB, sum>>20))
+			if resident := limiter.residentBytes(); resident > memoryLimit {
+				limiter.cancel(fmt.Errorf("limits.memory_mb: %d, and %d are in use", limits.MemoryMB, resident>>20))
 			}
 			select {
-			case <-g.ctx.Done():
+			case <-limiter.ctx.Done():
 				return
-			case <-t.C:
+			case <-ticker.C:
 			}
 		}
 	}()
-	return g, nil
+	return limiter, nil
 }
 
-// resident is what the rig and its relays have in memory.
-func (g *guard) resident() int64 {
-	c, _ := process.Read(os.Getpid())
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	sum := c.RSS
-	for r := range g.relays {
-		if c, err := r.Cost(); err == nil {
-			sum += c.RSS
+// residentBytes returns the resident memory of the rig and its relays together, and records the peak.
+func (l *resourceLimiter) residentBytes() int64 {
+	usage, _ := process.ReadUsage(os.Getpid())
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	sum := usage.ResidentBytes
+	for relay := range l.relays {
+		if usage, err := relay.Usage(); err == nil {
+			sum += usage.ResidentBytes
 		}
 	}
-	g.peak.Store(max(g.peak.Load(), sum))
+	l.peakResident.Store(max(l.peakResident.Load(), sum))
 	return sum
 }
 
-// start runs a relay where there is room for one more.
-func (g *guard) start(r *process.Relay) (time.Duration, error) {
-	g.mu.Lock()
-	if len(g.relays) >= g.most {
-		g.mu.Unlock()
-		return 0, fmt.Errorf("limits.processes: %d are running", len(g.relays))
+// startRelay starts a relay unless as many as allowed are running, and returns how long it took to become ready.
+func (l *resourceLimiter) startRelay(relay *process.Relay) (time.Duration, error) {
+	l.mu.Lock()
+	if len(l.relays) >= l.maxRelays {
+		l.mu.Unlock()
+		return 0, fmt.Errorf("limits.processes: %d relays are running already", len(l.relays))
 	}
-	g.mu.Unlock()
-	d, err := r.Start(g.ctx)
+	l.mu.Unlock()
+	readyAfter, err := relay.Start(l.ctx)
 	if err == nil {
-		g.mu.Lock()
-		g.relays[r] = true
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.relays[relay] = true
+		l.mu.Unlock()
 	}
-	return d, err
+	return readyAfter, err
 }
 
-// end kills a relay.
-func (g *guard) end(r *process.Relay) {
-	r.Kill()
-	g.mu.Lock()
-	delete(g.relays, r)
-	g.mu.Unlock()
+// killRelay kills a relay and frees its place under the limit of processes.
+func (l *resourceLimiter) killRelay(relay *process.Relay) {
+	relay.Kill()
+	l.mu.Lock()
+	delete(l.relays, relay)
+	l.mu.Unlock()
 }
 
-// stop ends whatever still runs.
-func (g *guard) stop() {
-	g.mu.Lock()
-	relays := g.relays
-	g.relays = map[*process.Relay]bool{}
-	g.mu.Unlock()
-	for r := range relays {
-		r.Kill()
+// stop kills the relays that still run and ends the context.
+func (l *resourceLimiter) stop() {
+	l.mu.Lock()
+	relays := l.relays
+	l.relays = map[*process.Relay]bool{}
+	l.mu.Unlock()
+	for relay := range relays {
+		relay.Kill()
 	}
-	g.cancel(nil)
+	l.cancel(nil)
 }
 
-// machineMemory is that of the machine, in bytes.
+// machineMemory returns the size of this machine's memory in bytes.
 func machineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
 	}
 	_, rest, _ := strings.Cut(string(text), "MemTotal:")
-	words := strings.Fields(rest)
-	if len(words) == 0 {
+	fields := strings.Fields(rest)
+	if len(fields) == 0 {
 		return 0, fmt.Errorf("/proc/meminfo: no MemTotal")
 	}
-	kb, err := strconv.ParseInt(words[0], 10, 64)
+	kb, err := strconv.ParseInt(fields[0], 10, 64)
 	return kb << 10, err
 }
--- a/internal/rig/experiment/history.go
+++ b/internal/rig/experiment/history.go
@@ -13,63 +13,68 @@
 )
 
 func init() {
-	register("history", "hollow relays' data path, by destinations that each sees", func(ctx context.Context, x *Experiment, res *Result, _ *guard, log *slog.Logger) error {
-		for turn := range x.Turns {
-			for _, size := range x.Sizes {
-				figures, err := historySize(ctx, x, size, x.Seed+uint64(turn))
+	register("history", "data path of hollow relays, by destinations that each sends to", func(ctx context.Context,
+		exp *Experiment, result *Result, _ *resourceLimiter, log *slog.Logger) error {
+		for turn := range exp.Turns {
+			for _, size := range exp.Sizes {
+				figures, err := measureHistory(ctx, exp, size, exp.Seed+uint64(turn))
 				if err != nil {
 					return fmt.Errorf("size %d: %w", size, err)
 				}
-				res.add(size, turn, figures)
-				log.Info("measured", "experiment", x.Name, "size", size, "turn", turn, "figures", figures)
+				result.add(size, turn, figures)
+				log.Info("measured", "experiment", exp.Name, "size", size, "turn", turn, "figures", figures)
 			}
 		}
 		return nil
 	})
 }
 
-// historySize plays one number of destinations. Of the fleet a part is played; partners' capacity is scaled to
-// that part, and what relays are told of rates and fleet is not.
-func historySize(ctx context.Context, x *Experiment, size int, seed uint64) (map[string]float64, error) {
-	h := &x.History
+// measureHistory simulates one number of destinations. Only a part of the fleet is simulated. The capacity of the
+// destinations is scaled to that part; the capacity that discovery lists and the fleet size in the relays' settings
+// are those of the whole fleet.
+func measureHistory(ctx context.Context, exp *Experiment, size int, seed uint64) (map[string]float64, error) {
+	history := &exp.History
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	weights := world.NewWeights(size, h.Zipf)
-	total := h.EventsPerS * float64(h.Relays)
-	listed := func(dest int) float64 { return max(total*weights.Of(dest)*h.Headroom, 1) }
-	part := float64(h.Played) / float64(h.Relays)
-	set := hollow.Settings(h.Relays)
-	set.MaxHeld = h.MaxHeld
-	c := &set.Classes[0]
-	c.Deadline = decide.Time(h.DeadlineS * 1e6)
-	c.Aim = c.Deadline / 4
-	outages := world.NewOutages(seed, h.DownShare, seconds(h.DownMeanS))
-	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages, Capacity: func(d int) float64 { return listed(d) * part },
-		SilentShare: h.SilentShare, ToldShare: h.ToldShare, ToldWait: seconds(h.ToldWaitS), StartCapacity: set.StartCapacity,
-		RampTime: time.Duration(set.RampTime) * time.Microsecond, OverloadFactor: set.OverloadFactor, FallTime: time.Duration(set.FallTime) * time.Microsecond})
-	began := time.Now()
-	n, err := hollow.RunPath(ctx, hollow.PathOptions{Settings: set, Seed: seed, Relays: h.Played, Rate: h.EventsPerS, Span: seconds(h.Seconds),
-		Weights: weights, Partners: partners, Outages: outages, Capacity: listed, RoundTrip: seconds(h.RoundTripMS / 1000)})
+	weights := world.NewWeights(size, history.Zipf)
+	fleetRate := history.EventsPerS * float64(history.Relays)
+	listedCapacity := func(dest int) float64 { return max(fleetRate*weights.Of(dest)*history.Headroom, 1) }
+	simulatedShare := float64(history.Simulated) / float64(history.Relays)
+	settings := hollow.Settings(history.Relays)
+	settings.MaxHeld = history.MaxHeld
+	class := &settings.Classes[0]
+	class.Deadline = decide.Time(history.DeadlineS * 1e6)
+	class.Aim = class.Deadline / 4
+	outages := world.NewOutages(seed, history.DownShare, seconds(history.DownMeanS))
+	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages,
+		Capacity:    func(d int) float64 { return listedCapacity(d) * simulatedShare },
+		SilentShare: history.SilentShare, ToldShare: history.ThrottledShare, ToldWait: seconds(history.RetryAfterS),
+		StartCapacity: settings.StartCapacity, RampTime: time.Duration(settings.RampTime) * time.Microsecond,
+		OverloadFactor: settings.OverloadFactor, FallTime: time.Duration(settings.FallTime) * time.Microsecond})
+	startedAt := time.Now()
+	counts, err := hollow.RunPath(ctx, hollow.PathOptions{Settings: settings, Seed: seed, Relays: history.Simulated,
+		MessagesPerSecond: history.EventsPerS, Duration: seconds(history.Seconds), Weights: weights, Partners: partners,
+		Outages: outages, ListedCapacity: listedCapacity, MeanRoundTrip: seconds(history.RoundTripMS / 1000)})
 	if err != nil {
 		return nil, err
 	}
 	share := func(a, b int) float64 { return float64(a) / float64(max(b, 1)) }
-	up := n.Messages - n.ToDown
-	f := map[string]float64{
-		"messages":                     float64(n.Messages),
-		"served_share":                 share(n.Delivered, n.Messages),
-		"served_up_share":              share(n.Delivered-n.DeliveredDown, up),
-		"served_down_share":            share(n.DeliveredDown, n.ToDown),
-		"untried_up_share":             share(n.UntriedUp, up),
-		"given_up_share":               share(n.GivenUp, n.Messages),
-		"wasted_call_share":            share(n.Wasted, n.Calls),
-		"busy_call_share":              share(n.Busy, n.Calls),
-		"calls_to_down_share":          share(n.CallsDown, n.Calls),
-		"calls_each_message_to_down":   share(n.CallsDown, n.ToDown),
-		"calls_wasted_each_message":    share(n.Wasted, n.Messages),
-		"messages_each_relay_and_dest": share(n.Messages, n.Seen),
+	messagesToUp := counts.Messages - counts.MessagesToDown
+	figures := map[string]float64{
+		"messages":                     float64(counts.Messages),
+		"served_share":                 share(counts.Delivered, counts.Messages),
+		"served_up_share":              share(counts.Delivered-counts.DeliveredDown, messagesToUp),
+		"served_down_share":            share(counts.DeliveredDown, counts.MessagesToDown),
+		"untried_up_share":             share(counts.UntriedUp, messagesToUp),
+		"given_up_share":               share(counts.GivenUp, counts.Messages),
+		"wasted_call_share":            share(counts.FailedCalls, counts.Calls),
+		"busy_call_share":              share(counts.BusyReplies, counts.Calls),
+		"calls_to_down_share":          share(counts.CallsToDown, counts.Calls),
+		"calls_each_message_to_down":   share(counts.CallsToDown, counts.MessagesToDown),
+		"calls_wasted_each_message":    share(counts.FailedCalls, counts.Messages),
+		"messages_each_relay_and_dest": share(counts.Messages, counts.RelayDestPairs),
 		"falls":                        float64(partners.Falls),
-		"cpu_us_each_message":          float64(time.Since(began).Microseconds()) / float64(max(n.Messages, 1)),
+		"cpu_us_each_message":          float64(time.Since(startedAt).Microseconds()) / float64(max(counts.Messages, 1)),
 	}
-	spread(f, "delivery", n.Took)
-	return f, nil
+	addQuantiles(figures, "delivery", counts.DeliveryTimes)
+	return figures, nil
 }
--- a/internal/rig/experiment/processes.go
+++ b/internal/rig/experiment/processes.go
@@ -18,26 +18,27 @@
 )
 
 func init() {
-	for _, k := range []struct {
+	for _, entry := range []struct {
 		kind, what string
-		play       func(*bench, int) (map[string]float64, error)
+		play       func(*testbed, int) (map[string]float64, error)
 	}{
-		{"listed", "a real relay's start by destinations listed", (*bench).listed},
-		{"active", "a real relay by destinations that got a message", (*bench).active},
-		{"held", "a real relay by messages held, and its next start", (*bench).held},
-		{"connections", "a real relay by client connections that are open", (*bench).connections},
-		{"events", "a real relay by messages delivered", (*bench).events},
-		{"operations", "what each operation costs a real relay, by destinations listed", (*bench).operations},
+		{"listed", "start of a relay process, by destinations listed", (*testbed).measureListed},
+		{"active", "relay process, by destinations that got a message", (*testbed).measureActive},
+		{"held", "relay process and its restart, by messages held", (*testbed).measureHeld},
+		{"connections", "relay process, by open client connections", (*testbed).measureConnections},
+		{"events", "relay process, by messages delivered", (*testbed).measureEvents},
+		{"operations", "cost of each operation of a relay process, by destinations listed", (*testbed).measureOperations},
 	} {
-		register(k.kind, k.what, func(ctx context.Context, x *Experiment, res *Result, g *guard, log *slog.Logger) error {
-			for turn := range x.Turns {
-				for _, size := range x.Sizes {
-					figures, err := onBench(x, g, k.kind, size, k.play)
+		register(entry.kind, entry.what, func(ctx context.Context, exp *Experiment, result *Result,
+			limiter *resourceLimiter, log *slog.Logger) error {
+			for turn := range exp.Turns {
+				for _, size := range exp.Sizes {
+					figures, err := measureRelay(exp, limiter, entry.kind, size, entry.play)
 					if err != nil {
 						return fmt.Errorf("size %d: %w", size, err)
 					}
-					res.add(size, turn, figures)
-					log.Info("measured", "experiment", x.Name, "size", size, "turn", turn, "figures", figures)
+					result.add(size, turn, figures)
+					log.Info("measured", "experiment", exp.Name, "size", size, "turn", turn, "figures", figures)
 				}
 			}
 			return nil
@@ -45,86 +46,87 @@
 	}
 }
 
-// bench is one real relay with all that it needs around it.
-type bench struct {
-	x       *Experiment
-	guard   *guard
-	dests   int
-	live    int // destinations whose endpoints are there, spread evenly
-	catalog *registry.Catalog
-	reg     *registry.Registry
-	agent   *registry.Agent
-	old     *partner.Server // has the endpoints that the list begins with
-	new     *partner.Server // and every second incarnation
-	relay   *process.Relay
-	startup time.Duration
+// testbed is one relay process with the servers around it: discovery and the endpoints of all destinations.
+type testbed struct {
+	exp               *Experiment
+	limiter           *resourceLimiter
+	dests             int
+	liveDests         int // destinations whose endpoints have a server; evenly spaced among all
+	catalog           *registry.Catalog
+	registry          *registry.Registry
+	agent             *registry.Agent
+	initialServer     *partner.Server // serves the endpoints of the first list, and every second incarnation after it
+	replacementServer *partner.Server // serves the other incarnations
+	relay             *process.Relay
+	readyAfter        time.Duration
 }
 
-// onBench plays one size.
-func onBench(x *Experiment, g *guard, kind string, size int, play func(*bench, int) (map[string]float64, error)) (map[string]float64, error) {
+// measureRelay sets up a testbed for one size of an experiment, starts the relay and runs the measurement.
+func measureRelay(exp *Experiment, limiter *resourceLimiter, kind string, size int,
+	measure func(*testbed, int) (map[string]float64, error)) (map[string]float64, error) {
 	dir, err := os.MkdirTemp("", "hollow-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	b := &bench{x: x, guard: g, dests: x.Relay.Destinations}
-	held, sockets := x.Relay.MaxHeld, x.Relay.Sockets
+	bed := &testbed{exp: exp, limiter: limiter, dests: exp.Relay.Destinations}
+	maxHeld, sockets := exp.Relay.MaxHeld, exp.Relay.Sockets
 	switch kind {
 	case "listed", "operations":
-		b.dests = size
+		bed.dests = size
 	case "held":
-		held = max(held, 2*size)
+		maxHeld = max(maxHeld, 2*size)
 	case "connections":
 		sockets = max(sockets, 2*size+1024)
 	case "active":
-		if size > b.dests {
-			return nil, fmt.Errorf("relay.destinations: %d, want the largest size at least", b.dests)
+		if size > bed.dests {
+			return nil, fmt.Errorf("relay.destinations: %d, want at least the largest size", bed.dests)
 		}
-		b.live = size
+		bed.liveDests = size
 	}
-	if b.live == 0 {
-		b.live = min(max(x.Load.Messages, 1), b.dests)
+	if bed.liveDests == 0 {
+		bed.liveDests = min(max(exp.Load.Messages, 1), bed.dests)
 	}
-	for _, p := range []**partner.Server{&b.old, &b.new} {
-		if *p, err = partner.NewServer(); err != nil {
+	for _, server := range []**partner.Server{&bed.initialServer, &bed.replacementServer} {
+		if *server, err = partner.NewServer(); err != nil {
 			return nil, err
 		}
-		defer (*p).Close()
+		defer (*server).Close()
 	}
-	b.catalog, err = registry.NewCatalog(registry.Spec{Destinations: b.dests, Seed: x.Seed, Shuffled: x.Relay.Shuffled,
-		Rate: 1000000, Addr: b.addr})
+	bed.catalog, err = registry.NewCatalog(registry.Spec{Destinations: bed.dests, Seed: exp.Seed, Shuffled: exp.Relay.Shuffled,
+		Rate: 1000000, Addr: bed.addr})
 	if err != nil {
 		return nil, err
 	}
-	b.reg = registry.New(b.catalog)
-	defer b.reg.Close()
-	if b.agent, err = b.reg.NewAgent(""); err != nil {
+	bed.registry = registry.New(bed.catalog)
+	defer bed.registry.Close()
+	if bed.agent, err = bed.registry.NewAgent(""); err != nil {
 		return nil, err
 	}
-	log, err := os.Create(filepath.Join(dir, "log"))
+	logFile, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
-	b.relay, err = process.New(process.Options{Program: x.Relay.Program, Dir: dir, Discovery: b.agent.Addr(), MemoryMB: x.Relay.MemoryMB,
-		Sockets: sockets, DiskMB: x.Relay.DiskMB, MaxHeld: held, Relays: x.Relay.Relays,
-		Deadline: time.Duration(x.Load.DeadlineMS) * time.Millisecond, Log: log})
+	defer logFile.Close()
+	bed.relay, err = process.New(process.Options{Program: exp.Relay.Program, Dir: dir, Discovery: bed.agent.Addr(),
+		MemoryMB: exp.Relay.MemoryMB, Sockets: sockets, DiskMB: exp.Relay.DiskMB, MaxHeld: maxHeld,
+		Relays: exp.Relay.Relays, Deadline: time.Duration(exp.Load.DeadlineMS) * time.Millisecond, Log: logFile})
 	if err != nil {
 		return nil, err
 	}
-	if b.startup, err = g.start(b.relay); err != nil {
-		return nil, errors.Join(err, lastLine(log.Name()))
+	if bed.readyAfter, err = limiter.startRelay(bed.relay); err != nil {
+		return nil, errors.Join(err, lastLogLine(logFile.Name()))
 	}
-	defer g.end(b.relay)
-	figures, err := play(b, size)
+	defer limiter.killRelay(bed.relay)
+	figures, err := measure(bed, size)
 	if err != nil {
-		err = errors.Join(err, lastLine(log.Name()))
+		err = errors.Join(err, lastLogLine(logFile.Name()))
 	}
 	return figures, err
 }
 
-// lastLine is what a relay's log ends with.
-func lastLine(path string) error {
+// lastLogLine returns an error that quotes the last line of a relay's log, to go with the error of the measurement.
+func lastLogLine(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -134,135 +136,141 @@
 	return fmt.Errorf("the relay's log ends with %.300q", lines[len(lines)-1])
 }
 
-const endpointsEach = 2
+const endpointsPerDest = 2
 
-// addr is where an endpoint is: a partner's server for the destinations that are there, nowhere for others.
-func (b *bench) addr(index, incarnation int) string {
-	if step := b.dests / b.live; index/endpointsEach%step != 0 {
+// addr returns the address of an endpoint: that of a server for the live destinations, and an address where nothing
+// listens for all others.
+func (b *testbed) addr(index, incarnation int) string {
+	if step := b.dests / b.liveDests; index/endpointsPerDest%step != 0 {
 		return fmt.Sprintf("10.%d.%d.%d:%d", index>>16&255, index>>8&255, index&255, 6379+incarnation)
 	}
 	if incarnation%2 == 0 {
-		return b.old.Addr()
+		return b.initialServer.Addr()
 	}
-	return b.new.Addr()
+	return b.replacementServer.Addr()
 }
 
-// dest is the i-th destination that is there.
-func (b *bench) dest(i int) int { return i % b.live * (b.dests / b.live) }
+// dest returns the i-th live destination, starting over after the last.
+func (b *testbed) dest(i int) int { return i % b.liveDests * (b.dests / b.liveDests) }
 
 const (
-	calmEvery = 200 * time.Millisecond
-	calmMost  = 120 * time.Second
+	idlePollInterval = 200 * time.Millisecond
+	idleTimeout      = 120 * time.Second
 )
 
-// calm waits until the relay has nothing to do and tells what it has used by then.
-func (b *bench) calm() (process.Cost, error) {
-	before := process.Cost{CPU: -time.Hour}
-	for end := time.Now().Add(calmMost); time.Now().Before(end); {
-		c, err := b.relay.Cost()
+// waitIdle waits until the relay uses at most 10 ms of processor time in a poll interval, and returns its usage then.
+func (b *testbed) waitIdle() (process.Usage, error) {
+	before := process.Usage{CPU: -time.Hour}
+	for giveUpAt := time.Now().Add(idleTimeout); time.Now().Before(giveUpAt); {
+		usage, err := b.relay.Usage()
 		if err != nil {
-			return c, err
+			return usage, err
 		}
-		if c.CPU-before.CPU <= 10*time.Millisecond {
-			return c, nil
+		if usage.CPU-before.CPU <= 10*time.Millisecond {
+			return usage, nil
 		}
-		before = c
+		before = usage
 		select {
-		case <-b.guard.ctx.Done():
-			return c, context.Cause(b.guard.ctx)
-		case <-time.After(calmEvery):
+		case <-b.limiter.ctx.Done():
+			return usage, context.Cause(b.limiter.ctx)
+		case <-time.After(idlePollInterval):
 		}
 	}
-	return before, errors.New("the relay never came to rest")
+	return before, errors.New("the relay did not become idle in time")
 }
 
-// cost runs an operation and tells what the relay has used for it, once it is at rest again.
-func (b *bench) cost(f func() error) (before, after process.Cost, err error) {
-	if before, err = b.calm(); err != nil {
+// measureUsage runs an operation and returns the relay's usage before it and after it, each time with the relay idle.
+func (b *testbed) measureUsage(operation func() error) (before, after process.Usage, err error) {
+	if before, err = b.waitIdle(); err != nil {
 		return
 	}
-	if err = f(); err == nil {
-		after, err = b.calm()
+	if err = operation(); err == nil {
+		after, err = b.waitIdle()
 	}
 	return
 }
 
-func perOp(before, after process.Cost, n int) float64 {
+// cpuMicrosPerOperation returns the processor time between two readings for each of n operations, in microseconds.
+func cpuMicrosPerOperation(before, after process.Usage, n int) float64 {
 	return float64((after.CPU - before.CPU).Microseconds()) / float64(max(n, 1))
 }
 
-// put hands in messages that are to be taken on, all of them.
-func (b *bench) put(prefix string, n int) error {
-	l := process.Load{Prefix: prefix, Messages: n, Conns: b.x.Load.Conns, Dest: b.dest, Body: strings.Repeat("x", b.x.Load.BodyBytes),
-		Deadline: time.Duration(b.x.Load.DeadlineMS) * time.Millisecond}
-	taken, _, err := l.Run(b.guard.ctx, b.relay.Addr)
-	if err == nil && taken != n {
-		err = fmt.Errorf("%d of %d messages taken on", taken, n)
+// submitAll hands in n messages, and returns an error unless the relay accepts all of them.
+func (b *testbed) submitAll(prefix string, n int) error {
+	load := process.Load{IDPrefix: prefix, Messages: n, Connections: b.exp.Load.Connections, Dest: b.dest,
+		Body:     strings.Repeat("x", b.exp.Load.BodyBytes),
+		Deadline: time.Duration(b.exp.Load.DeadlineMS) * time.Millisecond}
+	accepted, _, err := load.Run(b.limiter.ctx, b.relay.Addr)
+	if err == nil && accepted != n {
+		err = fmt.Errorf("the relay accepted %d of %d messages", accepted, n)
 	}
 	return err
 }
 
-// until waits for a condition, as long as the run lasts.
-func (b *bench) until(what string, cond func() bool) error {
-	for !cond() {
+// waitFor polls a condition until it holds. If the run ends first, the error names the event that was waited for.
+func (b *testbed) waitFor(event string, condition func() bool) error {
+	for !condition() {
 		select {
-		case <-b.guard.ctx.Done():
-			return fmt.Errorf("%s: %w", what, context.Cause(b.guard.ctx))
+		case <-b.limiter.ctx.Done():
+			return fmt.Errorf("waiting for %s: %w", event, context.Cause(b.limiter.ctx))
 		case <-time.After(time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// deliver hands in messages and waits until all are delivered.
-func (b *bench) deliver(prefix string, n int) error {
-	from := b.old.Served.Load()
-	if err := b.put(prefix, n); err != nil {
+// deliver hands in n messages and waits until all of them are delivered.
+func (b *testbed) deliver(prefix string, n int) error {
+	servedBefore := b.initialServer.Served.Load()
+	if err := b.submitAll(prefix, n); err != nil {
 		return err
 	}
-	return b.until("delivery", func() bool { return b.old.Served.Load()-from >= int64(n) })
+	return b.waitFor("delivery", func() bool { return b.initialServer.Served.Load()-servedBefore >= int64(n) })
 }
 
-// listed: what a start costs and holds, once a message for the last destination is delivered.
-func (b *bench) listed(size int) (map[string]float64, error) {
+// measureListed measures the start of a relay with size destinations listed, until it has delivered one message.
+func (b *testbed) measureListed(size int) (map[string]float64, error) {
 	if err := b.deliver("first", 1); err != nil {
 		return nil, err
 	}
-	c, err := b.calm()
+	usage, err := b.waitIdle()
 	if err != nil {
 		return nil, err
 	}
-	n := b.reg.Total(0)
-	return map[string]float64{"rss_bytes": float64(c.RSS), "peak_bytes": float64(c.Peak), "cpu_us": float64(c.CPU.Microseconds()),
-		"ready_ms": float64(b.startup.Microseconds()) / 1000, "sent_bytes": float64(n.SentBytes)}, nil
+	requests := b.registry.Total(0)
+	return map[string]float64{"rss_bytes": float64(usage.ResidentBytes), "peak_bytes": float64(usage.PeakResidentBytes),
+		"cpu_us": float64(usage.CPU.Microseconds()), "ready_ms": float64(b.readyAfter.Microseconds()) / 1000,
+		"sent_bytes": float64(requests.SentBytes)}, nil
 }
 
-// active: one message for each of so many destinations.
-func (b *bench) active(size int) (map[string]float64, error) {
-	before, after, err := b.cost(func() error { return b.deliver("m", size) })
+// measureActive measures the delivery of one message to each of size destinations.
+func (b *testbed) measureActive(size int) (map[string]float64, error) {
+	before, after, err := b.measureUsage(func() error { return b.deliver("m", size) })
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"rss_bytes": float64(after.RSS), "growth_bytes": float64(after.RSS - before.RSS),
+	return map[string]float64{"rss_bytes": float64(after.ResidentBytes), "growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
 		"cpu_us": float64((after.CPU - before.CPU).Microseconds())}, nil
 }
 
-// events: so many messages, over the destinations in turn.
-func (b *bench) events(size int) (map[string]float64, error) {
-	before, after, err := b.cost(func() error { return b.deliver("m", size) })
+// measureEvents measures the delivery of size messages, to the live destinations in turn.
+func (b *testbed) measureEvents(size int) (map[string]float64, error) {
+	before, after, err := b.measureUsage(func() error { return b.deliver("m", size) })
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"cpu_us": float64((after.CPU - before.CPU).Microseconds()), "rss_bytes": float64(after.RSS)}, nil
+	return map[string]float64{"cpu_us": float64((after.CPU - before.CPU).Microseconds()),
+		"rss_bytes": float64(after.ResidentBytes)}, nil
 }
 
-// told is a wait that outlasts any experiment.
-const told = 10 * time.Minute
+// longRetryAfter is a Retry-After that outlasts any experiment.
+const longRetryAfter = 10 * time.Minute
 
-// held: so many messages that all destinations have told to wait; then the process is killed and started again.
-func (b *bench) held(size int) (map[string]float64, error) {
-	b.old.Set(partner.Answer{Wait: told})
-	before, after, err := b.cost(func() error { return b.put("m", size) })
+// measureHeld measures size messages that the relay holds because all destinations reply with a long Retry-After, then
+// a restart that recovers them from the log, and then a restart after which all of them are delivered.
+func (b *testbed) measureHeld(size int) (map[string]float64, error) {
+	b.initialServer.Set(partner.Answer{Wait: longRetryAfter})
+	before, after, err := b.measureUsage(func() error { return b.submitAll("m", size) })
 	if err != nil {
 		return nil, err
 	}
@@ -270,155 +278,164 @@
 	if err != nil {
 		return nil, err
 	}
-	figures := map[string]float64{"rss_bytes": float64(after.RSS), "growth_bytes": float64(after.RSS - before.RSS),
-		"cpu_us": float64((after.CPU - before.CPU).Microseconds()), "log_bytes": float64(logBytes)}
-	b.guard.end(b.relay)
-	took, err := b.guard.start(b.relay)
+	figures := map[string]float64{"rss_bytes": float64(after.ResidentBytes),
+		"growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
+		"cpu_us":       float64((after.CPU - before.CPU).Microseconds()), "log_bytes": float64(logBytes)}
+	b.limiter.killRelay(b.relay)
+	readyAfter, err := b.limiter.startRelay(b.relay)
 	if err != nil {
 		return figures, err
 	}
-	c, err := b.calm()
+	usage, err := b.waitIdle()
 	if err != nil {
 		return figures, err
 	}
-	figures["replay_ready_ms"] = float64(took.Microseconds()) / 1000
-	figures["replay_cpu_us"] = float64(c.CPU.Microseconds())
-	figures["replay_rss_bytes"], figures["replay_peak_bytes"] = float64(c.RSS), float64(c.Peak)
-	// Once more, and now all goes out: waits end with the process that heard of them.
-	b.guard.end(b.relay)
-	from := b.old.Served.Load()
-	b.old.Set(partner.Answer{})
-	began := time.Now()
-	if _, err := b.guard.start(b.relay); err != nil {
+	figures["replay_ready_ms"] = float64(readyAfter.Microseconds()) / 1000
+	figures["replay_cpu_us"] = float64(usage.CPU.Microseconds())
+	figures["replay_rss_bytes"], figures["replay_peak_bytes"] =
+		float64(usage.ResidentBytes), float64(usage.PeakResidentBytes)
+	// The relay is restarted again, now with endpoints that deliver. It sends at once, since a Retry-After is known only
+	// to the process that received it.
+	b.limiter.killRelay(b.relay)
+	servedBefore := b.initialServer.Served.Load()
+	b.initialServer.Set(partner.Answer{})
+	startedAt := time.Now()
+	if _, err := b.limiter.startRelay(b.relay); err != nil {
 		return figures, err
 	}
-	if err := b.until("delivery of the backlog", func() bool { return b.old.Served.Load()-from >= int64(size) }); err != nil {
+	if err := b.waitFor("delivery of the backlog", func() bool {
+		return b.initialServer.Served.Load()-servedBefore >= int64(size)
+	}); err != nil {
 		return figures, err
 	}
-	figures["drained_ms"] = float64(time.Since(began).Microseconds()) / 1000
+	figures["drained_ms"] = float64(time.Since(startedAt).Microseconds()) / 1000
 	return figures, nil
 }
 
-// connections: so many, each of which has answered once.
-func (b *bench) connections(size int) (map[string]float64, error) {
+// measureConnections measures size open client connections on which the relay has replied to one PING each.
+func (b *testbed) measureConnections(size int) (map[string]float64, error) {
 	var open []*process.Client
 	defer func() {
-		for _, c := range open {
-			c.Close()
+		for _, client := range open {
+			client.Close()
 		}
 	}()
-	before, err := b.calm()
+	before, err := b.waitIdle()
 	if err != nil {
 		return nil, err
 	}
 	for range size {
-		c, err := process.Dial(b.relay.Addr)
+		client, err := process.Dial(b.relay.Addr)
 		if err != nil {
 			return nil, err
 		}
-		open = append(open, c)
-		if err := c.Ping(); err != nil {
+		open = append(open, client)
+		if err := client.Ping(); err != nil {
 			return nil, err
 		}
 	}
-	after, err := b.relay.Cost()
+	after, err := b.relay.Usage()
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"rss_bytes": float64(after.RSS), "growth_bytes": float64(after.RSS - before.RSS),
+	return map[string]float64{"rss_bytes": float64(after.ResidentBytes), "growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
 		"cpu_us": float64((after.CPU - before.CPU).Microseconds())}, nil
 }
 
-// operations: what each costs with so many destinations listed.
-func (b *bench) operations(size int) (map[string]float64, error) {
-	l := &b.x.Load
+// measureOperations measures the cost of each kind of operation with size destinations listed.
+func (b *testbed) measureOperations(size int) (map[string]float64, error) {
+	load := &b.exp.Load
 	figures := map[string]float64{}
-	ops := []struct {
+	operations := []struct {
 		name  string
 		count int
 		do    func(n int) error
 	}{
-		{"event", l.Messages, func(n int) error { return b.deliver("e", n) }},
-		{"told_wait", min(l.Messages, b.live), b.toldWaits},
-		{"change", l.Changes, func(n int) error {
-			for i := range n { // of destinations that nothing is sent to
-				b.catalog.Replace((b.dests - 1 - i%b.dests) * endpointsEach)
+		{"event", load.Messages, func(n int) error { return b.deliver("e", n) }},
+		{"told_wait", min(load.Messages, b.liveDests), b.throttleMessages},
+		{"change", load.Changes, func(n int) error {
+			for i := range n { // replaces endpoints from the end of the list
+				b.catalog.Replace((b.dests - 1 - i%b.dests) * endpointsPerDest)
 				time.Sleep(5 * time.Millisecond)
 			}
 			return nil
 		}},
-		{"reload", l.Reloads, b.reloads},
-		{"reconnect", l.Reconnects, b.reconnects},
-		{"full_list", min(l.Reconnects, 3), func(n int) error {
+		{"reload", load.Reloads, b.reloadConfig},
+		{"reconnect", load.Reconnects, b.reconnectWatch},
+		{"full_list", min(load.Reconnects, 3), func(n int) error {
 			for range n {
-				from := b.reg.Total(0).FirstBytes
+				bytesBefore := b.registry.Total(0).FirstBytes
 				b.catalog.Forget()
-				if err := b.reconnects(1); err != nil {
+				if err := b.reconnectWatch(1); err != nil {
 					return err
 				}
-				if b.reg.Total(0).FirstBytes-from < int64(b.dests)*endpointsEach*100 {
-					return errors.New("the whole list was not sent")
+				if b.registry.Total(0).FirstBytes-bytesBefore < int64(b.dests)*endpointsPerDest*100 {
+					return errors.New("discovery sent less than the full list")
 				}
 			}
 			return nil
 		}},
 	}
-	for _, op := range ops {
-		if op.count == 0 {
+	for _, operation := range operations {
+		if operation.count == 0 {
 			continue
 		}
-		at := b.reg.Total(0)
-		before, after, err := b.cost(func() error { return op.do(op.count) })
+		requestsBefore := b.registry.Total(0)
+		before, after, err := b.measureUsage(func() error { return operation.do(operation.count) })
 		if err != nil {
-			return figures, fmt.Errorf("%s: %w", op.name, err)
+			return figures, fmt.Errorf("%s: %w", operation.name, err)
 		}
-		now := b.reg.Total(0)
-		figures[op.name+"_cpu_us"] = perOp(before, after, op.count)
-		if op.name == "change" || op.name == "reconnect" || op.name == "full_list" {
-			sent := now.SentBytes - now.BeatBytes - at.SentBytes + at.BeatBytes
-			figures[op.name+"_sent_bytes"] = float64(sent) / float64(op.count)
+		requestsAfter := b.registry.Total(0)
+		figures[operation.name+"_cpu_us"] = cpuMicrosPerOperation(before, after, operation.count)
+		if operation.name == "change" || operation.name == "reconnect" || operation.name == "full_list" {
+			sent := requestsAfter.SentBytes - requestsAfter.BeatBytes - requestsBefore.SentBytes + requestsBefore.BeatBytes
+			figures[operation.name+"_sent_bytes"] = float64(sent) / float64(operation.count)
 		}
 	}
-	figures["told_wait_cpu_us"] -= figures["event_cpu_us"] // such a message is delivered as well
+	figures["told_wait_cpu_us"] -= figures["event_cpu_us"] // a throttled message is delivered too, which is not counted here
 	var times []time.Duration
-	for i := range min(l.Changes, b.live) {
-		took, err := b.inForce(i)
+	for i := range min(load.Changes, b.liveDests) {
+		delay, err := b.measureChangeDelay(i)
 		if err != nil {
-			return figures, fmt.Errorf("change in force: %w", err)
+			return figures, fmt.Errorf("time until a change is in force: %w", err)
 		}
-		times = append(times, took)
+		times = append(times, delay)
 	}
 	if len(times) > 0 {
-		spread(figures, "change_in_force", times)
+		addQuantiles(figures, "change_in_force", times)
 	}
-	c, err := b.relay.Cost()
-	figures["rss_bytes"], figures["peak_bytes"] = float64(c.RSS), float64(c.Peak)
+	usage, err := b.relay.Usage()
+	figures["rss_bytes"], figures["peak_bytes"] = float64(usage.ResidentBytes), float64(usage.PeakResidentBytes)
 	return figures, err
 }
 
-// toldWaits: so many messages that are told to wait once each and delivered then.
-func (b *bench) toldWaits(n int) error {
-	b.old.Set(partner.Answer{Wait: 2 * time.Second})
-	from, served := b.old.Calls.Load(), b.old.Served.Load()
-	if err := b.put("w", n); err != nil {
+// throttleMessages hands in n messages, each of which gets a reply with Retry-After first and is then delivered.
+func (b *testbed) throttleMessages(n int) error {
+	b.initialServer.Set(partner.Answer{Wait: 2 * time.Second})
+	callsBefore, servedBefore := b.initialServer.Calls.Load(), b.initialServer.Served.Load()
+	if err := b.submitAll("w", n); err != nil {
 		return err
 	}
-	if err := b.until("calls to be told to wait", func() bool { return b.old.Calls.Load()-from >= int64(n) }); err != nil {
+	if err := b.waitFor("throttled calls", func() bool {
+		return b.initialServer.Calls.Load()-callsBefore >= int64(n)
+	}); err != nil {
 		return err
 	}
-	b.old.Set(partner.Answer{})
-	return b.until("delivery after the wait", func() bool { return b.old.Served.Load()-served >= int64(n) })
+	b.initialServer.Set(partner.Answer{})
+	return b.waitFor("delivery after Retry-After", func() bool {
+		return b.initialServer.Served.Load()-servedBefore >= int64(n)
+	})
 }
 
-// reloads: a changed configuration and SIGHUP, one after another.
-func (b *bench) reloads(n int) error {
+// reloadConfig changes the configuration file n times, each time followed by SIGHUP.
+func (b *testbed) reloadConfig(n int) error {
 	for i := range n {
-		err := b.relay.Configure(func(s map[string]any) { s["limits"].(map[string]any)["probing"] = i%2 == 1 })
+		err := b.relay.WriteConfig(func(settings map[string]any) { settings["limits"].(map[string]any)["probing"] = i%2 == 1 })
 		if err == nil {
 			err = b.relay.Signal(syscall.SIGHUP)
 		}
 		if err == nil {
-			_, err = b.calm()
+			_, err = b.waitIdle()
 		}
 		if err != nil {
 			return err
@@ -427,51 +444,52 @@
 	return nil
 }
 
-// reconnects: the agent's connections are reset, and the watch is opened anew.
-func (b *bench) reconnects(n int) error {
+// reconnectWatch resets the relay's connections to discovery n times, each time until the relay has opened a new watch
+// and is idle.
+func (b *testbed) reconnectWatch(n int) error {
 	for range n {
-		from := b.reg.Total(0).Watches
+		watchesBefore := b.registry.Total(0).Watches
 		b.agent.Reset()
-		if err := b.until("another watch", func() bool { return b.reg.Total(0).Watches > from }); err != nil {
+		if err := b.waitFor("a new watch", func() bool { return b.registry.Total(0).Watches > watchesBefore }); err != nil {
 			return err
 		}
-		if _, err := b.calm(); err != nil { // and a whole list is read
+		if _, err := b.waitIdle(); err != nil { // until the relay has read a full list, if it gets one
 			return err
 		}
 	}
 	return nil
 }
 
-// inForce: both endpoints of a destination are replaced by those of the other partner. It tells how long it takes
-// until a message goes there; messages come one every millisecond or so, one at a time.
-func (b *bench) inForce(i int) (time.Duration, error) {
-	c, err := process.Dial(b.relay.Addr)
+// measureChangeDelay replaces both endpoints of a destination by endpoints on the other server, and returns how long it
+// takes until the relay sends a message there. It hands in one message at a time, about one per millisecond.
+func (b *testbed) measureChangeDelay(i int) (time.Duration, error) {
+	client, err := process.Dial(b.relay.Addr)
 	if err != nil {
 		return 0, err
 	}
-	defer c.Close()
+	defer client.Close()
 	dest := b.dest(i)
-	began := time.Now()
-	for e := range endpointsEach {
-		b.catalog.Replace(dest*endpointsEach + e)
+	startedAt := time.Now()
+	for endpoint := range endpointsPerDest {
+		b.catalog.Replace(dest*endpointsPerDest + endpoint)
 	}
 	for n := 0; ; n++ {
-		servers := []*partner.Server{b.old, b.new}
-		from := []int64{b.old.Calls.Load(), b.new.Calls.Load()}
-		sent := time.Now()
-		line, err := c.Put(fmt.Sprintf("f-%d-%d", i, n), dest, time.Duration(b.x.Load.DeadlineMS)*time.Millisecond, "x")
+		servers := []*partner.Server{b.initialServer, b.replacementServer}
+		callsBefore := []int64{b.initialServer.Calls.Load(), b.replacementServer.Calls.Load()}
+		sentAt := time.Now()
+		reply, err := client.Put(fmt.Sprintf("f-%d-%d", i, n), dest, time.Duration(b.exp.Load.DeadlineMS)*time.Millisecond, "x")
 		if err != nil {
 			return 0, err
 		}
-		if strings.HasPrefix(line, "+") {
-			err := b.until("a call", func() bool {
-				return slices.ContainsFunc([]int{0, 1}, func(k int) bool { return servers[k].Calls.Load() > from[k] })
+		if strings.HasPrefix(reply, "+") {
+			err := b.waitFor("a call", func() bool {
+				return slices.ContainsFunc([]int{0, 1}, func(k int) bool { return servers[k].Calls.Load() > callsBefore[k] })
 			})
 			if err != nil {
 				return 0, err
 			}
-			if b.new.Calls.Load() > from[1] {
-				return sent.Sub(began), nil
+			if b.replacementServer.Calls.Load() > callsBefore[1] {
+				return sentAt.Sub(startedAt), nil
 			}
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/rig/experiment/processes_test.go
+++ b/internal/rig/experiment/processes_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// TestRealRelay: each kind of experiment with a real relay runs to its end at a small size and has its figures.
+// TestRealRelay runs each kind of experiment with a relay process at a small size, and checks that the run ends without
+// an error and has its figures.
 func TestRealRelay(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "troutusher")
 	if out, err := exec.Command("go", "build", "-o", program, "troutusher/cmd/troutusher").CombinedOutput(); err != nil {
@@ -22,24 +23,24 @@
 		"connections": {"rss_bytes"},
 		"operations":  {"change_sent_bytes", "reconnect_sent_bytes", "full_list_sent_bytes", "change_in_force_last_ms"},
 	} {
-		x, err := Parse([]byte("name = \"x\"\nkind = \"" + kind + "\"\nunit = \"x\"\nsizes = [30]\n[load]\nmessages = 30\nchanges = 2\n" +
+		exp, err := Parse([]byte("name = \"x\"\nkind = \"" + kind + "\"\nunit = \"x\"\nsizes = [30]\n[load]\nmessages = 30\nchanges = 2\n" +
 			"reloads = 1\nreconnects = 1\ndeadline_ms = 600000\n[relay]\ndestinations = 40\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Relay.Program = program
-		res, err := Run(context.Background(), x, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		if err != nil || len(res.Points) != 1 {
-			t.Errorf("%s: %v", kind, err)
+		exp.Relay.Program = program
+		result, err := Run(context.Background(), exp, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		if err != nil || len(result.Points) != 1 {
+			t.Errorf("%s: got error %v, want a result with one point", kind, err)
 			continue
 		}
-		for _, f := range want {
-			if res.Points[0].Figures[f] <= 0 {
-				t.Errorf("%s: %s is %v", kind, f, res.Points[0].Figures[f])
+		for _, figure := range want {
+			if result.Points[0].Figures[figure] <= 0 {
+				t.Errorf("%s: got %s %v, want more than 0", kind, figure, result.Points[0].Figures[figure])
 			}
 		}
-		if res.PeakMB < 5 || res.Machine.MemoryMB == 0 || res.Commit == "" {
-			t.Errorf("%s: %+v", kind, res)
+		if result.PeakMB < 5 || result.Machine.MemoryMB == 0 || result.Commit == "" {
+			t.Errorf("%s: got %+v, want peak memory, machine and commit", kind, result)
 		}
 	}
 }
--- a/internal/rig/hollow/fleet.go
+++ b/internal/rig/hollow/fleet.go
@@ -16,7 +16,7 @@
 )
 
 // Follow keeps a watch on discovery and hands on its news until ctx ends.
-type Follow func(ctx context.Context, addr string, known *relay.List, news func(*relay.List))
+type FollowFunc func(ctx context.Context, addr string, known *relay.List, news func(*relay.List))
 
 // Options say how a fleet is made.
 type Options struct {
@@ -24,18 +24,18 @@
 	Settings decide.Settings
 	Seed     uint64
 	Log      *slog.Logger
-	Follow   Follow // nil means that of a running relay
+	Follow   FollowFunc // nil means that of a running relay
 }
 
 // Fleet is a number of hollow relays at one registry.
 type Fleet struct {
-	opts     Options
-	registry *registry.Registry
-	relays   []*Relay
-	began    time.Time
+	opts      Options
+	registry  *registry.Registry
+	relays    []*Relay
+	startedAt time.Time
 
-	mu  sync.Mutex
-	ids map[string]decide.Endpoint // the same at all of them
+	mu              sync.Mutex
+	endpointNumbers map[string]decide.Endpoint // the same at all of them
 }
 
 // Relay is one hollow relay.
@@ -44,34 +44,34 @@
 	Agent *registry.Agent
 	index int
 
-	mu       sync.Mutex
-	policy   *decide.Policy
-	known    *relay.List // as it last had it, of a whole list only
-	revision int64
-	reached  map[int64]time.Time // when a revision that is waited for, or a later one, was in force
-	want     int64
-	stop     context.CancelFunc
-	done     chan struct{}
-	acts     []decide.Action
+	mu               sync.Mutex
+	policy           *decide.Policy
+	lastFullList     *relay.List // as it last had it, of a whole list only
+	revision         int64
+	inForceAt        map[int64]time.Time // when a revision that is waited for, or a later one, was in force
+	expectedRevision int64
+	cancel           context.CancelFunc
+	done             chan struct{}
+	actions          []decide.Action
 }
 
 // New makes a fleet; its relays run once they are started.
-func New(reg *registry.Registry, o Options) (*Fleet, error) {
-	f := &Fleet{opts: o, registry: reg, ids: map[string]decide.Endpoint{}, began: time.Now()}
-	if f.opts.Follow == nil {
-		grace := time.Duration(o.Settings.DrainGrace) * time.Microsecond / 2
-		f.opts.Follow = func(ctx context.Context, addr string, known *relay.List, news func(*relay.List)) {
-			relay.Follow(ctx, addr, o.Settings.Relays, grace, known, o.Log, news)
+func New(reg *registry.Registry, opts Options) (*Fleet, error) {
+	fleet := &Fleet{opts: opts, registry: reg, endpointNumbers: map[string]decide.Endpoint{}, startedAt: time.Now()}
+	if fleet.opts.Follow == nil {
+		grace := time.Duration(opts.Settings.DrainGrace) * time.Microsecond / 2
+		fleet.opts.Follow = func(ctx context.Context, addr string, known *relay.List, handle func(*relay.List)) {
+			relay.Follow(ctx, addr, opts.Settings.Relays, grace, known, opts.Log, handle)
 		}
 	}
-	for i := range o.Spec.Relays {
-		a, err := reg.NewAgent("")
+	for i := range opts.Spec.Relays {
+		agent, err := reg.NewAgent("")
 		if err != nil {
 			return nil, err
 		}
-		f.relays = append(f.relays, &Relay{fleet: f, Agent: a, index: i})
+		fleet.relays = append(fleet.relays, &Relay{fleet: fleet, Agent: agent, index: i})
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // Relay is one of the fleet.
@@ -81,7 +81,7 @@
 func (f *Fleet) Len() int { return len(f.relays) }
 
 // All are the numbers of all relays.
-func (f *Fleet) All() []int {
+func (f *Fleet) RelayIndexes() []int {
 	list := make([]int, len(f.relays))
 	for i := range list {
 		list[i] = i
@@ -91,9 +91,9 @@
 
 // Start runs relays. known tells whether each begins with the list that it last had, as a restart does whose
 // configuration holds one.
-func (f *Fleet) Start(known bool, relays ...int) error {
+func (f *Fleet) Start(withKnownList bool, relays ...int) error {
 	for _, i := range relays {
-		if err := f.relays[i].start(known); err != nil {
+		if err := f.relays[i].start(withKnownList); err != nil {
 			return err
 		}
 	}
@@ -103,22 +103,22 @@
 // Stop ends relays and waits for their ends.
 func (f *Fleet) Stop(relays ...int) {
 	for _, i := range relays {
-		if r := f.relays[i]; r.stop != nil {
-			r.stop()
+		if r := f.relays[i]; r.cancel != nil {
+			r.cancel()
 		}
 	}
 	for _, i := range relays {
-		if r := f.relays[i]; r.stop != nil {
+		if r := f.relays[i]; r.cancel != nil {
 			<-r.done
-			r.stop = nil
+			r.cancel = nil
 		}
 	}
 }
 
 // Set changes the way to discovery of relays.
-func (f *Fleet) Set(c registry.Condition, relays ...int) error {
+func (f *Fleet) SetCondition(condition registry.Condition, relays ...int) error {
 	for _, i := range relays {
-		if err := f.relays[i].Agent.Set(c); err != nil {
+		if err := f.relays[i].Agent.Set(condition); err != nil {
 			return err
 		}
 	}
@@ -126,15 +126,15 @@
 }
 
 // Reached waits until all of the given relays have a revision in force, and tells how long each took from a moment.
-func (f *Fleet) Reached(ctx context.Context, revision int64, from time.Time, relays ...int) ([]time.Duration, error) {
+func (f *Fleet) WaitForRevision(ctx context.Context, revision int64, since time.Time, relays ...int) ([]time.Duration, error) {
 	for _, i := range relays {
-		f.relays[i].expect(revision)
+		f.relays[i].expectRevision(revision)
 	}
 	for {
 		var times []time.Duration
 		for _, i := range relays {
-			if at, ok := f.relays[i].inForce(); ok {
-				times = append(times, at.Sub(from))
+			if at, ok := f.relays[i].expectedRevisionAt(); ok {
+				times = append(times, at.Sub(since))
 			}
 		}
 		if len(times) == len(relays) {
@@ -149,28 +149,28 @@
 }
 
 // Expect has relays note when a revision is in force; it is called before that can be.
-func (f *Fleet) Expect(revision int64, relays ...int) {
+func (f *Fleet) ExpectRevision(revision int64, relays ...int) {
 	for _, i := range relays {
-		f.relays[i].expect(revision)
+		f.relays[i].expectRevision(revision)
 	}
 }
 
-func (r *Relay) expect(revision int64) {
+func (r *Relay) expectRevision(revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.want == revision {
+	if r.expectedRevision == revision {
 		return
 	}
-	r.want, r.reached = revision, map[int64]time.Time{}
+	r.expectedRevision, r.inForceAt = revision, map[int64]time.Time{}
 	if r.revision >= revision {
-		r.reached[revision] = time.Now()
+		r.inForceAt[revision] = time.Now()
 	}
 }
 
-func (r *Relay) inForce() (time.Time, bool) {
+func (r *Relay) expectedRevisionAt() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok := r.reached[r.want]
+	at, ok := r.inForceAt[r.expectedRevision]
 	return at, ok
 }
 
@@ -181,72 +181,72 @@
 	return r.revision
 }
 
-func (r *Relay) start(known bool) error {
-	p, err := decide.New(r.fleet.opts.Settings, r.fleet.opts.Seed+uint64(r.index))
+func (r *Relay) start(withKnownList bool) error {
+	policy, err := decide.New(r.fleet.opts.Settings, r.fleet.opts.Seed+uint64(r.index))
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.policy, r.stop, r.done = p, stop, make(chan struct{})
+	r.policy, r.cancel, r.done = policy, cancel, make(chan struct{})
 	var list *relay.List
-	if known && r.known != nil {
-		list = &relay.List{Revision: r.revision, Complete: true, Members: r.known.Members}
-		r.book(list, decide.ListCached)
+	if withKnownList && r.lastFullList != nil {
+		list = &relay.List{Revision: r.revision, Complete: true, Members: r.lastFullList.Members}
+		r.stepPolicy(list, decide.ListCached)
 	} else {
 		r.revision = 0
 	}
 	go func(done chan struct{}) {
 		defer close(done)
-		r.fleet.opts.Follow(ctx, r.Agent.Addr(), list, r.news)
+		r.fleet.opts.Follow(ctx, r.Agent.Addr(), list, r.applyList)
 	}(r.done)
 	return nil
 }
 
 // news puts a list, or what changed in it, in force.
-func (r *Relay) news(l *relay.List) {
+func (r *Relay) applyList(list *relay.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kind := decide.ListChange
-	if l.Complete {
-		kind, r.known = decide.ListFull, l
+	if list.Complete {
+		kind, r.lastFullList = decide.ListFull, list
 	}
-	r.book(l, kind)
-	r.revision = l.Revision
-	if _, ok := r.reached[r.want]; !ok && r.want > 0 && r.revision >= r.want {
-		r.reached[r.want] = time.Now()
+	r.stepPolicy(list, kind)
+	r.revision = list.Revision
+	if _, ok := r.inForceAt[r.expectedRevision]; !ok && r.expectedRevision > 0 && r.revision >= r.expectedRevision {
+		r.inForceAt[r.expectedRevision] = time.Now()
 	}
 }
 
 // book tells the policy. The caller holds the lock.
-func (r *Relay) book(l *relay.List, kind decide.ListNews) {
-	if len(l.Members) == 0 && kind == decide.ListChange {
+func (r *Relay) stepPolicy(list *relay.List, kind decide.ListNews) {
+	if len(list.Members) == 0 && kind == decide.ListChange {
 		return
 	}
-	e := decide.Event{Kind: decide.EvList, List: kind, Entries: make([]decide.Entry, 0, len(l.Members))}
-	for i := range l.Members {
-		m := &l.Members[i]
+	event := decide.Event{Kind: decide.EvList, List: kind, Entries: make([]decide.Entry, 0, len(list.Members))}
+	for i := range list.Members {
+		member := &list.Members[i]
 		state := decide.Ready
-		switch m.Phase {
+		switch member.Phase {
 		case "draining":
 			state = decide.Draining
 		case "removed":
 			state = decide.Gone
 		}
-		e.Entries = append(e.Entries, decide.Entry{Endpoint: r.fleet.number(m.ID), Dest: m.Cell, State: state, Rate: m.Size})
+		event.Entries = append(event.Entries, decide.Entry{Endpoint: r.fleet.endpointNumber(member.ID), Dest: member.Cell, State: state, Rate: member.Size})
 	}
-	r.acts = r.policy.Step(decide.Time(3600e6)+time.Since(r.fleet.began).Microseconds(), []decide.Event{e}, r.acts[:0])
+	r.actions = r.policy.Step(decide.Time(3600e6)+time.Since(r.fleet.startedAt).Microseconds(), []decide.Event{event}, r.actions[:0])
 }
 
 // number is that of an endpoint, the same for all relays.
-func (f *Fleet) number(id string) decide.Endpoint {
+func (f *Fleet) endpointNumber(id string) decide.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n, ok := f.ids[id]
+	number, ok := f.endpointNumbers[id]
 	if !ok {
-		n = decide.Endpoint(len(f.ids) + 1)
-		f.ids[id] = n
+		number = decide.Endpoint(len(f.endpointNumbers) + 1)
+		f.endpointNumbers[id] = number
 	}
-	return n
+	return number
 }
--- a/internal/rig/process/client.go
+++ b/internal/rig/process/client.go
@@ -10,84 +10,86 @@
 	"time"
 )
 
-// Client is one connection to a relay.
+// Client is one client connection to a relay. It sends a command only after the reply to the one before.
 type Client struct {
-	conn net.Conn
-	in   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-// answerMost is how long an answer is waited for.
-const answerMost = 30 * time.Second
+// replyTimeout limits sending one command and reading its reply.
+const replyTimeout = 30 * time.Second
 
 // Dial connects to a relay.
 func Dial(addr string) (*Client, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{c, bufio.NewReaderSize(c, 128)}, nil
+	return &Client{conn, bufio.NewReaderSize(conn, 128)}, nil
 }
 
 // Close ends the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-func (c *Client) do(args ...string) (string, error) {
-	var b strings.Builder
-	fmt.Fprintf(&b, "*%d\r\n", len(args))
-	for _, a := range args {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(a), a)
+// roundTrip sends a command and returns the first line of the reply without its line ending.
+func (c *Client) roundTrip(args ...string) (string, error) {
+	var command strings.Builder
+	fmt.Fprintf(&command, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(&command, "$%d\r\n%s\r\n", len(arg), arg)
 	}
-	c.conn.SetDeadline(time.Now().Add(answerMost))
-	if _, err := c.conn.Write([]byte(b.String())); err != nil {
+	c.conn.SetDeadline(time.Now().Add(replyTimeout))
+	if _, err := c.conn.Write([]byte(command.String())); err != nil {
 		return "", err
 	}
-	line, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// Ping asks whether the relay is ready.
+// Ping sends PING and returns an error unless the relay replies +PONG, as it does once it is ready.
 func (c *Client) Ping() error {
-	line, err := c.do("PING")
+	line, err := c.roundTrip("PING")
 	if err == nil && line != "+PONG" {
 		err = fmt.Errorf("PING: %s", line)
 	}
 	return err
 }
 
-// Put hands in a message and returns the answer's line.
+// Put hands in a message and returns the line of the reply.
 func (c *Client) Put(id string, dest int, deadline time.Duration, body string) (string, error) {
-	return c.do("MSG.PUT", "0000000000000000", id,
+	return c.roundTrip("MSG.PUT", "0000000000000000", id,
 		fmt.Sprintf("c=notice,t=acme,d=%d,dest=%d", deadline.Milliseconds(), dest), body)
 }
 
-// Load is a number of messages to hand in.
+// Load describes a number of messages to hand in to a relay over several connections.
 type Load struct {
-	Prefix   string // of their ids
-	Messages int
-	Conns    int // connections that hand in one message after another
-	Dest     func(i int) int
-	Deadline time.Duration
-	Body     string
+	IDPrefix    string // first part of each message ID
+	Messages    int
+	Connections int             // each hands in one message at a time
+	Dest        func(i int) int // returns the destination of message i
+	Deadline    time.Duration
+	Body        string
 }
 
-// Run hands all in and counts those taken on. One that is refused (-BUSY) is handed in again until ctx ends;
-// any other answer ends the load.
-func (l *Load) Run(ctx context.Context, addr string) (taken, refused int, err error) {
+// Run hands in all messages and returns the number of accepted messages and of -BUSY replies. A message that is
+// refused with -BUSY is handed in again, under another ID, until ctx ends. Any other reply stops the load with an
+// error.
+func (l *Load) Run(ctx context.Context, addr string) (accepted, busy int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var mu sync.Mutex
 	next := 0
-	var all sync.WaitGroup
-	for range l.Conns {
-		all.Add(1)
+	var senders sync.WaitGroup
+	for range l.Connections {
+		senders.Add(1)
 		go func() {
-			defer all.Done()
-			c, err := Dial(addr)
+			defer senders.Done()
+			client, err := Dial(addr)
 			if err != nil {
 				cancel(err)
 				return
 			}
-			defer func() { c.Close() }()
+			defer func() { client.Close() }()
 			for {
 				mu.Lock()
 				i := next
@@ -100,15 +102,15 @@
 					if ctx.Err() != nil {
 						return
 					}
-					line, err := c.Put(fmt.Sprintf("%s-%d-%d", l.Prefix, i, try), l.Dest(i), l.Deadline, l.Body)
+					line, err := client.Put(fmt.Sprintf("%s-%d-%d", l.IDPrefix, i, try), l.Dest(i), l.Deadline, l.Body)
 					mu.Lock()
 					switch {
 					case err == nil && strings.HasPrefix(line, "+"):
-						taken++
+						accepted++
 					case err == nil && strings.HasPrefix(line, "-BUSY"):
-						refused++
+						busy++
 					case err == nil:
-						err = fmt.Errorf("message to %d: %s", l.Dest(i), line)
+						err = fmt.Errorf("message to destination %d: relay replied %s", l.Dest(i), line)
 					}
 					mu.Unlock()
 					if err != nil {
@@ -123,6 +125,6 @@
 			}
 		}()
 	}
-	all.Wait()
-	return taken, refused, context.Cause(ctx)
+	senders.Wait()
+	return accepted, busy, context.Cause(ctx)
 }
--- a/internal/rig/process/relay.go
+++ b/internal/rig/process/relay.go
@@ -1,5 +1,5 @@
-// Package process runs real relays as processes of their own, hands them messages over loopback sockets and
-// reads what they cost from the system.
+// Package process runs relay processes, hands in messages to them over loopback sockets and reads from /proc how much
+// memory and processor time they use.
 package process
 
 import (
@@ -17,37 +17,37 @@
 	"time"
 )
 
-// Options say how a relay is run.
+// Options configures a relay process.
 type Options struct {
-	Program   string // the relay's binary
-	Dir       string // of its files; its own
-	Discovery string
+	Program   string // path of the relay's binary
+	Dir       string // directory of the relay's files; not shared with another relay
+	Discovery string // address of service discovery
 	MemoryMB  int
 	Sockets   int
 	DiskMB    int
-	MaxHeld   int
-	Relays    int           // in its fleet, as its settings say
-	Deadline  time.Duration // of every message
-	Log       *os.File      // where its log goes; nil for nowhere
+	MaxHeld   int           // messages held at most
+	Relays    int           // size of the fleet according to the relay's settings
+	Deadline  time.Duration // deadline of the message class
+	Log       *os.File      // receives the relay's log; nil discards it
 }
 
-// Relay is one running process.
+// Relay is one relay, run as a process. After Kill it can be started again on the same files.
 type Relay struct {
-	Addr string // where clients connect
-	opts Options
-	cmd  *exec.Cmd
-	env  []string
-	done chan struct{} // closed at its end
+	Addr   string // address for clients
+	opts   Options
+	cmd    *exec.Cmd
+	env    []string
+	exited chan struct{} // closed when the process has exited
 }
 
-// settings are the relay's settings as the deployment gives them.
-func (o *Options) settings() map[string]any {
-	us := func(d time.Duration) int64 { return d.Microseconds() }
+// relaySettings returns the "settings" section of the configuration, in the form that a deployment uses.
+func (o *Options) relaySettings() map[string]any {
+	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	return map[string]any{
 		"accounts":  []any{map[string]any{"name": "acme", "quota_per_s": 0, "share": 1}},
 		"balancers": o.Relays,
 		"classes": []any{map[string]any{"name": "notice", "repeat": "retryable", "group": "all", "worth": 1, "late_worth": 0.1,
-			"deadline_us": us(o.Deadline), "target_us": us(o.Deadline) / 4, "dedup_window_us": us(5 * time.Second)}},
+			"deadline_us": micros(o.Deadline), "target_us": micros(o.Deadline) / 4, "dedup_window_us": micros(5 * time.Second)}},
 		"discovery": "pushed", "kinds": []string{"k"}, "localities": []string{"a", "b"},
 		"limits": map[string]any{"connect_timeout_us": 1500000, "keepalive_us": 10000000, "max_retry_after_us": 2000000,
 			"may_cancel": true, "most_held": o.MaxHeld, "most_tries": 1000, "probing": true, "retry_after": true, "streams_per_conn": 8},
@@ -58,40 +58,41 @@
 		"tick_us":   5000, "value_by": "request", "weights": "nominal", "zone": 0}
 }
 
-// Configure writes the configuration file anew, with a class name that a change of settings can be told by.
-func (r *Relay) Configure(edit func(settings map[string]any)) error {
-	o := &r.opts
-	s := o.settings()
+// WriteConfig writes the configuration file. If edit is not nil, it may change the settings before they are written.
+func (r *Relay) WriteConfig(edit func(settings map[string]any)) error {
+	opts := &r.opts
+	settings := opts.relaySettings()
 	if edit != nil {
-		edit(s)
+		edit(settings)
 	}
-	text, err := json.Marshal(map[string]any{"name": "n1", "listen": r.Addr, "discovery": o.Discovery, "seed": "8c1f30d27a5be964",
-		"state": filepath.Join(o.Dir, "state"), "limits": map[string]any{"cores": 1.0, "memory_mb": o.MemoryMB, "sockets": o.Sockets,
-			"disk_mb": o.DiskMB}, "settings": s})
+	text, err := json.Marshal(map[string]any{"name": "n1", "listen": r.Addr, "discovery": opts.Discovery,
+		"seed": "8c1f30d27a5be964", "state": filepath.Join(opts.Dir, "state"), "limits": map[string]any{"cores": 1.0,
+			"memory_mb": opts.MemoryMB, "sockets": opts.Sockets, "disk_mb": opts.DiskMB}, "settings": settings})
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(o.Dir, "config.json"), text, 0o600)
+	return os.WriteFile(filepath.Join(opts.Dir, "config.json"), text, 0o600)
 }
 
-// New prepares a relay; Start runs it.
-func New(o Options) (*Relay, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a free port; it is let go at once
+// New chooses a port and writes the configuration of a relay. Start runs the process.
+func New(opts Options) (*Relay, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // finds a free port; closed below so that the relay can bind it
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Addr: l.Addr().String(), opts: o}
-	l.Close()
-	if err := os.MkdirAll(filepath.Join(o.Dir, "state"), 0o700); err != nil {
+	relay := &Relay{Addr: listener.Addr().String(), opts: opts}
+	listener.Close()
+	if err := os.MkdirAll(filepath.Join(opts.Dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	r.env = []string{"TMPDIR=" + o.Dir, "ROUTER_CONFIG=" + filepath.Join(o.Dir, "config.json"), "ROUTER_NAME=n1",
-		"ROUTER_LISTEN=" + r.Addr, "ROUTER_DISCOVERY=" + o.Discovery, "ROUTER_STATE=" + filepath.Join(o.Dir, "state")}
-	return r, r.Configure(nil)
+	relay.env = []string{"TMPDIR=" + opts.Dir, "ROUTER_CONFIG=" + filepath.Join(opts.Dir, "config.json"),
+		"ROUTER_NAME=n1", "ROUTER_LISTEN=" + relay.Addr, "ROUTER_DISCOVERY=" + opts.Discovery,
+		"ROUTER_STATE=" + filepath.Join(opts.Dir, "state")}
+	return relay, relay.WriteConfig(nil)
 }
 
-// Start runs the process and waits until it answers PING. It tells how long that took. When ctx ends, so does
-// the process.
+// Start runs the process, waits until it replies to PING and returns how long that took. The process is killed when
+// ctx ends.
 func (r *Relay) Start(ctx context.Context) (time.Duration, error) {
 	r.cmd = exec.CommandContext(ctx, r.opts.Program)
 	r.cmd.Env = r.env
@@ -99,24 +100,24 @@
 	if r.opts.Log != nil {
 		r.cmd.Stderr = r.opts.Log
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := r.cmd.Start(); err != nil {
-		return 0, fmt.Errorf("program: %w", err)
+		return 0, fmt.Errorf("starting the relay: %w", err)
 	}
-	done := make(chan struct{})
-	r.done = done
-	go func() { r.cmd.Wait(); close(done) }()
+	exited := make(chan struct{})
+	r.exited = exited
+	go func() { r.cmd.Wait(); close(exited) }()
 	for {
-		if c, err := Dial(r.Addr); err == nil {
-			err = c.Ping()
-			c.Close()
+		if client, err := Dial(r.Addr); err == nil {
+			err = client.Ping()
+			client.Close()
 			if err == nil {
-				return time.Since(began), nil
+				return time.Since(startedAt), nil
 			}
 		}
 		select {
-		case <-done:
-			return 0, fmt.Errorf("program: %s ended before it was ready", r.opts.Program)
+		case <-exited:
+			return 0, fmt.Errorf("starting the relay: %s exited before it was ready", r.opts.Program)
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		case <-time.After(2 * time.Millisecond):
@@ -124,87 +125,87 @@
 	}
 }
 
-// Signal sends the process a signal.
+// Signal sends a signal to the process.
 func (r *Relay) Signal(s syscall.Signal) error { return r.cmd.Process.Signal(s) }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process with SIGKILL and waits until it has exited.
 func (r *Relay) Kill() {
 	if r.cmd == nil || r.cmd.Process == nil {
 		return
 	}
 	r.cmd.Process.Kill()
-	<-r.done
+	<-r.exited
 }
 
-// Ended reports whether the process has ended by itself.
-func (r *Relay) Ended() bool {
+// Exited reports whether the process has exited.
+func (r *Relay) Exited() bool {
 	select {
-	case <-r.done:
+	case <-r.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// Cost is what a process has used.
-type Cost struct {
-	RSS  int64         // bytes resident now
-	Peak int64         // and at most so far
-	CPU  time.Duration // user and system time
+// Usage is the memory and processor time of a process.
+type Usage struct {
+	ResidentBytes     int64         // resident set size now
+	PeakResidentBytes int64         // largest resident set size since the process started
+	CPU               time.Duration // user and system time since the process started
 }
 
-// Cost reads what the process has used so far.
-func (r *Relay) Cost() (Cost, error) { return Read(r.cmd.Process.Pid) }
+// Usage reads the memory and processor time of the process.
+func (r *Relay) Usage() (Usage, error) { return ReadUsage(r.cmd.Process.Pid) }
 
-// LogBytes is the size of what the relay keeps in its state folder.
+// LogBytes returns the total size of the files in the relay's state folder.
 func (r *Relay) LogBytes() (sum int64, err error) {
-	list, err := os.ReadDir(filepath.Join(r.opts.Dir, "state"))
-	for _, e := range list {
-		if info, err := e.Info(); err == nil {
+	entries, err := os.ReadDir(filepath.Join(r.opts.Dir, "state"))
+	for _, entry := range entries {
+		if info, err := entry.Info(); err == nil {
 			sum += info.Size()
 		}
 	}
 	return sum, err
 }
 
-// ticks is the unit of processor time in /proc, the same on every Linux.
-const ticks = 100
+// ticksPerSecond is the unit of processor time in /proc/PID/stat (USER_HZ), which is the same on every Linux.
+const ticksPerSecond = 100
 
-// Read reads what a process of this machine has used so far.
-func Read(pid int) (c Cost, err error) {
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+// ReadUsage reads the memory and processor time of a process from /proc.
+func ReadUsage(pid int) (usage Usage, err error) {
+	statusText, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return c, err
+		return usage, err
 	}
-	for _, f := range []struct {
+	for _, field := range []struct {
 		key string
 		to  *int64
-	}{{"VmRSS:", &c.RSS}, {"VmHWM:", &c.Peak}} {
-		_, rest, _ := bytes.Cut(status, []byte(f.key))
-		words := strings.Fields(string(rest[:min(len(rest), 40)]))
-		if len(words) == 0 {
-			return c, fmt.Errorf("/proc/%d/status: no %s", pid, f.key)
+	}{{"VmRSS:", &usage.ResidentBytes}, {"VmHWM:", &usage.PeakResidentBytes}} {
+		_, rest, _ := bytes.Cut(statusText, []byte(field.key))
+		fields := strings.Fields(string(rest[:min(len(rest), 40)]))
+		if len(fields) == 0 {
+			return usage, fmt.Errorf("/proc/%d/status: no %s", pid, field.key)
 		}
-		kb, err := strconv.ParseInt(words[0], 10, 64)
+		kb, err := strconv.ParseInt(fields[0], 10, 64)
 		if err != nil {
-			return c, fmt.Errorf("/proc/%d/status: %s %w", pid, f.key, err)
+			return usage, fmt.Errorf("/proc/%d/status: %s %w", pid, field.key, err)
 		}
-		*f.to = kb << 10
+		*field.to = kb << 10
 	}
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	statText, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return c, err
+		return usage, err
 	}
-	words := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	if len(words) < 13 {
-		return c, fmt.Errorf("/proc/%d/stat: %d words", pid, len(words))
+	fields := strings.Fields(string(statText[bytes.LastIndexByte(statText, ')')+1:]))
+	if len(fields) < 13 {
+		return usage, fmt.Errorf("/proc/%d/stat: only %d fields after the command name", pid, len(fields))
 	}
-	for _, w := range words[11:13] {
-		n, err := strconv.ParseInt(w, 10, 64)
+	for _, field := range fields[11:13] {
+		ticks, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
-			return c, fmt.Errorf("/proc/%d/stat: %w", pid, err)
+			return usage, fmt.Errorf("/proc/%d/stat: %w", pid, err)
 		}
-		c.CPU += time.Duration(n) * time.Second / ticks
+		usage.CPU += time.Duration(ticks) * time.Second / ticksPerSecond
 	}
-	return c, nil
+	return usage, nil
 }
--- a/internal/rig/report/fit.go
+++ b/internal/rig/report/fit.go
@@ -9,44 +9,44 @@
 	InterceptError   float64 // standard errors; NaN with fewer than three points
 	SlopeError       float64
 	R2               float64 // share of the variance that the line explains
-	N                int
+	Points           int
 }
 
 // FitLine fits y = Intercept + Slope*x.
 func FitLine(x, y []float64) Fit {
 	n := float64(len(x))
-	f := Fit{N: len(x), SlopeError: math.NaN(), InterceptError: math.NaN()}
-	var mx, my float64
+	fit := Fit{Points: len(x), SlopeError: math.NaN(), InterceptError: math.NaN()}
+	var meanX, meanY float64
 	for i := range x {
-		mx += x[i] / n
-		my += y[i] / n
+		meanX += x[i] / n
+		meanY += y[i] / n
 	}
-	var sxx, sxy, syy float64
+	var sumXX, sumXY, sumYY float64
 	for i := range x {
-		sxx += (x[i] - mx) * (x[i] - mx)
-		sxy += (x[i] - mx) * (y[i] - my)
-		syy += (y[i] - my) * (y[i] - my)
+		sumXX += (x[i] - meanX) * (x[i] - meanX)
+		sumXY += (x[i] - meanX) * (y[i] - meanY)
+		sumYY += (y[i] - meanY) * (y[i] - meanY)
 	}
-	if sxx == 0 {
-		f.Intercept, f.Slope, f.R2 = my, math.NaN(), math.NaN()
-		return f
+	if sumXX == 0 {
+		fit.Intercept, fit.Slope, fit.R2 = meanY, math.NaN(), math.NaN()
+		return fit
 	}
-	f.Slope = sxy / sxx
-	f.Intercept = my - f.Slope*mx
-	rest := 0.0
+	fit.Slope = sumXY / sumXX
+	fit.Intercept = meanY - fit.Slope*meanX
+	residualSum := 0.0
 	for i := range x {
-		d := y[i] - f.Intercept - f.Slope*x[i]
-		rest += d * d
+		residual := y[i] - fit.Intercept - fit.Slope*x[i]
+		residualSum += residual * residual
 	}
-	f.R2 = 1
-	if syy > 0 {
-		f.R2 = 1 - rest/syy
+	fit.R2 = 1
+	if sumYY > 0 {
+		fit.R2 = 1 - residualSum/sumYY
 	}
 	if n > 2 {
-		f.SlopeError = math.Sqrt(rest / (n - 2) / sxx)
-		f.InterceptError = math.Sqrt(rest / (n - 2) * (1/n + mx*mx/sxx))
+		fit.SlopeError = math.Sqrt(residualSum / (n - 2) / sumXX)
+		fit.InterceptError = math.Sqrt(residualSum / (n - 2) * (1/n + meanX*meanX/sumXX))
 	}
-	return f
+	return fit
 }
 
 // At is the line's value.
--- a/internal/rig/report/report.go
+++ b/internal/rig/report/report.go
@@ -32,66 +32,66 @@
 func Collect(results []*experiment.Result) []*Series {
 	byKey := map[[3]string]*Series{}
 	var keys [][3]string
-	for _, r := range results {
-		x := &r.Experiment
-		for _, p := range r.Points {
-			for _, figure := range slices.Sorted(maps.Keys(p.Figures)) {
-				key := [3]string{x.Name, r.Commit, figure}
-				s := byKey[key]
-				if s == nil {
-					s = &Series{Name: x.Name, Commit: r.Commit, Unit: x.Unit, Figure: figure}
-					byKey[key] = s
+	for _, result := range results {
+		exp := &result.Experiment
+		for _, point := range result.Points {
+			for _, figure := range slices.Sorted(maps.Keys(point.Figures)) {
+				key := [3]string{exp.Name, result.Commit, figure}
+				series := byKey[key]
+				if series == nil {
+					series = &Series{Name: exp.Name, Commit: result.Commit, Unit: exp.Unit, Figure: figure}
+					byKey[key] = series
 					keys = append(keys, key)
 				}
-				s.X, s.Y = append(s.X, float64(p.Size)), append(s.Y, p.Figures[figure])
-				s.Goal = max(s.Goal, x.Goal)
-				s.Partial = s.Partial || r.Failed != ""
+				series.X, series.Y = append(series.X, float64(point.Size)), append(series.Y, point.Figures[figure])
+				series.Goal = max(series.Goal, exp.Goal)
+				series.Partial = series.Partial || result.Failed != ""
 			}
 		}
 	}
 	slices.SortStableFunc(keys, func(a, b [3]string) int { return strings.Compare(a[0]+" "+a[1], b[0]+" "+b[1]) })
-	var list []*Series
-	for _, k := range keys {
-		list = append(list, byKey[k])
+	var collected []*Series
+	for _, key := range keys {
+		collected = append(collected, byKey[key])
 	}
-	return list
+	return collected
 }
 
 // Table writes a line for each series: the fit with its standard errors, what was measured at the largest size
 // that was run, and what the line says for the goal. That is marked as worked out where the goal was not run.
 func Table(w io.Writer, series []*Series) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "experiment\tcommit\tfigure\tslope\t± error\tat none\t± error\tR²\tsizes\tlargest run\tmeasured there\tgoal\tat the goal\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "experiment\tcommit\tfigure\tslope\t± error\tat none\t± error\tR²\tsizes\tlargest run\tmeasured there\tgoal\tat the goal\t")
 	for _, s := range series {
-		f := FitLine(s.X, s.Y)
-		sum, n := 0.0, 0.0
+		fit := FitLine(s.X, s.Y)
+		sum, count := 0.0, 0.0
 		sizes := map[float64]bool{}
 		for i, x := range s.X {
 			sizes[x] = true
 			if x == s.Largest() {
 				sum += s.Y[i]
-				n++
+				count++
 			}
 		}
 		name := s.Name
 		if s.Partial {
 			name += " (partial)"
 		}
-		goal, at := "", ""
+		goal, atGoal := "", ""
 		switch {
 		case s.Goal > s.Largest():
-			goal, at = num(s.Goal), "extrapolated "+num(f.At(s.Goal))
+			goal, atGoal = formatNumber(s.Goal), "extrapolated "+formatNumber(fit.At(s.Goal))
 		case s.Goal > 0:
-			goal, at = num(s.Goal), "run"
+			goal, atGoal = formatNumber(s.Goal), "run"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s per %s\t%s\t%s\t%s\t%s\t%.3f\t%d\t%s\t%s\t%s\t%s\t\n", name, s.Commit, s.Figure, s.Unit, num(f.Slope),
-			num(f.SlopeError), num(f.Intercept), num(f.InterceptError), f.R2, len(sizes), num(s.Largest()), num(sum/n), goal, at)
+		fmt.Fprintf(table, "%s\t%s\t%s per %s\t%s\t%s\t%s\t%s\t%.3f\t%d\t%s\t%s\t%s\t%s\t\n", name, s.Commit, s.Figure, s.Unit, formatNumber(fit.Slope),
+			formatNumber(fit.SlopeError), formatNumber(fit.Intercept), formatNumber(fit.InterceptError), fit.R2, len(sizes), formatNumber(s.Largest()), formatNumber(sum/count), goal, atGoal)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // num writes a number with four digits that count.
-func num(v float64) string {
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
@@ -102,41 +102,41 @@
 }
 
 // Plot draws a series with its line, up to the goal, as PNG or SVG by the format's name, and tells the path.
-func Plot(s *Series, dir, format string) (string, error) {
-	p := plot.New()
-	p.Title.Text = s.Name + " at " + s.Commit
-	p.X.Label.Text, p.Y.Label.Text = s.Unit, s.Figure
-	pts := make(plotter.XYs, len(s.X))
-	for i := range s.X {
-		pts[i] = plotter.XY{X: s.X[i], Y: s.Y[i]}
+func Plot(series *Series, dir, format string) (string, error) {
+	canvas := plot.New()
+	canvas.Title.Text = series.Name + " at " + series.Commit
+	canvas.X.Label.Text, canvas.Y.Label.Text = series.Unit, series.Figure
+	points := make(plotter.XYs, len(series.X))
+	for i := range series.X {
+		points[i] = plotter.XY{X: series.X[i], Y: series.Y[i]}
 	}
-	dots, err := plotter.NewScatter(pts)
+	scatter, err := plotter.NewScatter(points)
 	if err != nil {
-		return "", fmt.Errorf("%s: %w", s.Figure, err)
+		return "", fmt.Errorf("%s: %w", series.Figure, err)
 	}
-	p.Add(plotter.NewGrid(), dots)
-	p.Legend.Add("measured", dots)
-	if f := FitLine(s.X, s.Y); !math.IsNaN(f.Slope) {
-		for _, part := range []struct {
+	canvas.Add(plotter.NewGrid(), scatter)
+	canvas.Legend.Add("measured", scatter)
+	if fit := FitLine(series.X, series.Y); !math.IsNaN(fit.Slope) {
+		for _, segment := range []struct {
 			name     string
 			from, to float64
 			dashed   bool
-		}{{"fit", slices.Min(s.X), s.Largest(), false}, {"extrapolated", s.Largest(), s.Goal, true}} {
-			if part.to <= part.from {
+		}{{"fit", slices.Min(series.X), series.Largest(), false}, {"extrapolated", series.Largest(), series.Goal, true}} {
+			if segment.to <= segment.from {
 				continue
 			}
-			line, err := plotter.NewLine(plotter.XYs{{X: part.from, Y: f.At(part.from)}, {X: part.to, Y: f.At(part.to)}})
+			line, err := plotter.NewLine(plotter.XYs{{X: segment.from, Y: fit.At(segment.from)}, {X: segment.to, Y: fit.At(segment.to)}})
 			if err != nil {
-				return "", fmt.Errorf("%s: %w", s.Figure, err)
+				return "", fmt.Errorf("%s: %w", series.Figure, err)
 			}
-			if part.dashed {
+			if segment.dashed {
 				line.Dashes = []vg.Length{vg.Points(4), vg.Points(4)}
 			}
-			p.Add(line)
-			p.Legend.Add(part.name, line)
+			canvas.Add(line)
+			canvas.Legend.Add(segment.name, line)
 		}
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	path := filepath.Join(dir, fmt.Sprintf("%s-%s-%s.%s", s.Name, s.Commit, s.Figure, format))
-	return path, p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
+	canvas.Legend.Top, canvas.Legend.Left = true, true
+	path := filepath.Join(dir, fmt.Sprintf("%s-%s-%s.%s", series.Name, series.Commit, series.Figure, format))
+	return path, canvas.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
