--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -1,5 +1,5 @@
-// Command hollow measures how the relay's costs grow with size: it plays experiments with real relays and with
-// hollow ones behind a stand-in discovery, and makes slopes of the results.
+// Command hollow measures how the relay's costs grow with size. It runs experiments with relay processes and with
+// simulated ("hollow") relays, which use a stand-in for service discovery, and fits slopes to the results.
 package main
 
 import (
@@ -22,31 +22,35 @@
 	"troutusher/internal/rig/report"
 )
 
-// Exit codes.
+// Exit codes of failures.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
+// cli is the command line. kong takes the names of commands and flags from the names of the fields, here and in the
+// structs of the commands.
 type cli struct {
-	Run      runCmd      `cmd:"" help:"Play an experiment and write its result as JSON."`
-	Report   reportCmd   `cmd:"" help:"Print the slopes of results as a table and draw them."`
-	Registry registryCmd `cmd:"" help:"Serve the stand-in discovery alone."`
+	Run      runCmd      `cmd:"" help:"Run an experiment and write its result as JSON."`
+	Report   reportCmd   `cmd:"" help:"Print the slopes of results as a table, and draw plots of them."`
+	Registry registryCmd `cmd:"" help:"Run only the stand-in for service discovery."`
 	Kinds    kindsCmd    `cmd:"" help:"List the kinds of experiment."`
 }
 
-// errUsage is a fault of flags or files, not of a run.
+// usageError is an error in flags or files, as opposed to one of a run.
 type usageError struct{ error }
 
+// runCmd is the command "run".
 type runCmd struct {
-	File  string  `arg:"" help:"The experiment, as TOML."`
-	Seed  *uint64 `help:"Instead of the file's."`
-	Sizes []int   `help:"Instead of the file's."`
-	Turns *int    `help:"Instead of the file's."`
-	Relay string  `help:"The relay's binary, instead of the file's."`
-	Out   string  `help:"Directory of the result." default:"found/hollow"`
+	File  string  `arg:"" help:"The experiment, a TOML file."`
+	Seed  *uint64 `help:"Seed, instead of the one in the file."`
+	Sizes []int   `help:"Sizes, instead of those in the file."`
+	Turns *int    `help:"Repetitions of each size, instead of the number in the file."`
+	Relay string  `help:"Path of the relay's binary, instead of the one in the file."`
+	Out   string  `help:"Directory for the result." default:"found/hollow"`
 }
 
+// Run runs the experiment, and writes a result even if the run fails half way.
 func (c *runCmd) Run(ctx context.Context, log *slog.Logger) error {
 	exp, err := experiment.ReadFile(c.File)
 	if err != nil {
@@ -78,13 +82,15 @@
 	return err
 }
 
+// reportCmd is the command "report".
 type reportCmd struct {
-	Dirs   []string `arg:"" help:"Directories of results."`
-	Plots  string   `help:"Directory to draw into; none draws nothing."`
-	Format string   `help:"Of the plots." enum:"png,svg" default:"svg"`
-	Only   []string `help:"Experiments, by name; none means all."`
+	Dirs   []string `arg:"" help:"Directories with results."`
+	Plots  string   `help:"Directory for the plots; without it none are drawn."`
+	Format string   `help:"Format of the plots." enum:"png,svg" default:"svg"`
+	Only   []string `help:"Names of the experiments to report; without it all are."`
 }
 
+// Run prints the table and draws the plots.
 func (c *reportCmd) Run() error {
 	results, err := experiment.ReadResults(c.Dirs...)
 	if err != nil {
@@ -108,17 +114,19 @@
 	return nil
 }
 
+// registryCmd is the command "registry".
 type registryCmd struct {
-	Listen       string        `help:"Address." default:"127.0.0.1:8500"`
-	Destinations int           `help:"How many are listed." default:"1000"`
-	Endpoints    int           `help:"Of each." default:"2"`
-	Seed         uint64        `help:"Of the list." default:"1"`
-	Shuffled     bool          `help:"List them in a drawn order."`
-	At           string        `help:"Address of all endpoints; none means made-up ones."`
-	ChangeEvery  time.Duration `help:"An endpoint is replaced so often; 0 for never."`
-	Fault        string        `help:"What is wrong with it." default:"none"`
+	Listen       string        `help:"Address to listen on." default:"127.0.0.1:8500"`
+	Destinations int           `help:"Number of destinations in the list." default:"1000"`
+	Endpoints    int           `help:"Endpoints of each destination." default:"2"`
+	Seed         uint64        `help:"Seed of the list." default:"1"`
+	Shuffled     bool          `help:"List the endpoints in a shuffled order."`
+	At           string        `help:"Address of all endpoints; without it each gets a generated one."`
+	ChangeEvery  time.Duration `help:"Interval at which an endpoint is replaced; 0 for never."`
+	Fault        string        `help:"Fault between relays and discovery." default:"none"`
 }
 
+// Run serves the list until ctx ends, and then logs the counts of requests.
 func (c *registryCmd) Run(ctx context.Context, log *slog.Logger) error {
 	spec := registry.Spec{Destinations: c.Destinations, Endpoints: c.Endpoints, Seed: c.Seed, Shuffled: c.Shuffled}
 	if c.At != "" {
@@ -141,7 +149,7 @@
 	if err := agent.Set(registry.Condition{Fault: fault}); err != nil {
 		return err
 	}
-	log.Info("serving", "addr", agent.Addr(), "destinations", c.Destinations)
+	log.Info("registry listening", "addr", agent.Addr(), "destinations", c.Destinations)
 	var change <-chan time.Time
 	if c.ChangeEvery > 0 {
 		change = time.Tick(c.ChangeEvery)
@@ -149,7 +157,7 @@
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
-			log.Info("served", "counts", reg.Total(0))
+			log.Info("registry stopped", "counts", reg.Total(0))
 			return nil
 		case <-change:
 			catalog.Replace(i % catalog.Len())
@@ -157,8 +165,10 @@
 	}
 }
 
+// kindsCmd is the command "kinds".
 type kindsCmd struct{}
 
+// Run prints each kind with its description.
 func (kindsCmd) Run() error {
 	for _, k := range experiment.KindNames() {
 		fmt.Printf("%-12s %s\n", k, experiment.Kinds[k])
@@ -168,16 +178,18 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// run parses the arguments, runs the command and returns the exit code. An error is printed as a single line.
 func run(args []string, stdout, stderr io.Writer) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	level := slog.LevelInfo
-	if file, ok := stderr.(*os.File); !ok || !isTerminal(file) { // progress is for those who look on
+	if file, ok := stderr.(*os.File); !ok || !isTerminal(file) { // progress is logged to a terminal only
 		level = slog.LevelWarn
 	}
 	log := slog.New(slog.NewJSONHandler(stderr, &slog.HandlerOptions{Level: level}))
 	var flags cli
-	parser, err := kong.New(&flags, kong.Name("hollow"), kong.Writers(stdout, stderr), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(log),
+	parser, err := kong.New(&flags, kong.Name("hollow"), kong.Writers(stdout, stderr),
+		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(log),
 		kong.Description("Measures how the relay's costs grow with size."))
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -199,7 +211,7 @@
 	return exitFailed
 }
 
-// terminal reports whether a file is one.
+// isTerminal reports whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/cmd/hollow/main_test.go
+++ b/cmd/hollow/main_test.go
@@ -10,8 +10,8 @@
 	"troutusher/internal/rig/experiment"
 )
 
-// TestImportGraph: the relay and the simulator's adapter gain nothing from the rig, neither its packages nor its
-// libraries.
+// TestImportGraph checks that the relay and the simulator's adapter import neither packages of the rig nor libraries
+// that only the rig uses.
 func TestImportGraph(t *testing.T) {
 	listDependencies := func(pkg string) string {
 		out, err := exec.Command("go", "list", "-deps", pkg).Output()
@@ -25,19 +25,20 @@
 		dependencies := listDependencies(pkg)
 		for _, name := range rigOnly {
 			if strings.Contains(dependencies, name) {
-				t.Errorf("%s depends on %s", pkg, name)
+				t.Errorf("%s depends on %s, want no dependency on the rig or its libraries", pkg, name)
 			}
 		}
 	}
 	dependencies := listDependencies("troutusher/cmd/hollow")
-	for _, name := range rigOnly { // and the words are the right ones
+	for _, name := range rigOnly { // a name that the rig itself does not import would make the check above pointless
 		if !strings.Contains(dependencies, name) {
-			t.Errorf("the rig does not depend on %s", name)
+			t.Errorf("cmd/hollow does not depend on %s, want all of these names among its dependencies", name)
 		}
 	}
 }
 
-// TestUsage: bad flags and files end with one line that names the key, and with exit code 2.
+// TestUsageErrors checks that bad flags and files give a single line that names the flag, key or file, and exit code
+// 2.
 func TestUsageErrors(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("name = \"x\"\nsises = [1]\n"), 0o600); err != nil {
@@ -46,29 +47,31 @@
 	for _, test := range []struct {
 		args []string
 		key  string
-	}{{[]string{"run", bad}, "sises"}, {[]string{"run", "--sed=1", bad}, "--sed"}, {[]string{"run", "nowhere.toml"}, "nowhere.toml"},
-		{[]string{"run", "--seed=x", bad}, "--seed"}, {[]string{"registry", "--fault=odd"}, "--fault"},
-		{[]string{"registry", "--destinations=0"}, "--destinations"}, {[]string{"report", t.TempDir()}, "no results"}} {
+	}{{[]string{"run", bad}, "sises"}, {[]string{"run", "--sed=1", bad}, "--sed"},
+		{[]string{"run", "nowhere.toml"}, "nowhere.toml"}, {[]string{"run", "--seed=x", bad}, "--seed"},
+		{[]string{"registry", "--fault=odd"}, "--fault"}, {[]string{"registry", "--destinations=0"}, "--destinations"},
+		{[]string{"report", t.TempDir()}, "no results"}} {
 		var stdout, stderr strings.Builder
 		code := run(test.args, &stdout, &stderr)
 		if code != exitUsage || !strings.Contains(stderr.String(), test.key) || strings.Count(stderr.String(), "\n") != 1 {
-			t.Errorf("%v: code %d, %q", test.args, code, stderr.String())
+			t.Errorf("%v: got exit code %d and output %q, want code 2 and one line", test.args, code, stderr.String())
 		}
 	}
 }
 
-// TestExperimentFiles: all that are committed can be read, and have sizes enough for a slope.
+// TestExperimentFiles checks that all experiments under deploy/experiments can be read and have at least four sizes,
+// so that a slope with its error can be fitted.
 func TestExperimentFiles(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/experiments/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("got files %v, error %v, want at least one file", paths, err)
 	}
 	for _, path := range paths {
 		exp, err := experiment.ReadFile(path)
 		if err != nil {
 			t.Error(err)
 		} else if len(exp.Sizes) < 4 {
-			t.Errorf("%s: %d sizes", path, len(exp.Sizes))
+			t.Errorf("%s: got %d sizes, want 4 or more", path, len(exp.Sizes))
 		}
 	}
 }
--- a/internal/rig/experiment/experiment.go
+++ b/internal/rig/experiment/experiment.go
@@ -37,20 +37,20 @@
 // Limits are the limits of a run. A run that exceeds one is ended with an error.
 type Limits struct {
 	Seconds   int `toml:"seconds" json:"seconds"`
-	MemoryMB  int `toml:"memory_mb" json:"memory_mb"` // resident memory of the rig and its relays; at most half the machine
+	MemoryMB  int `toml:"memory_mb" json:"memory_mb"` // resident memory of rig and relays; at most half the machine
 	Processes int `toml:"processes" json:"processes"` // relay processes at the same time
 }
 
 // Relay configures relay processes and the policy of hollow relays.
 type Relay struct {
 	Program      string `toml:"program" json:"program"`
-	Destinations int    `toml:"destinations" json:"destinations"` // listed by discovery where the size counts something else
+	Destinations int    `toml:"destinations" json:"destinations"` // listed, where the size counts something else
 	Shuffled     bool   `toml:"shuffled" json:"shuffled"`
 	MemoryMB     int    `toml:"memory_mb" json:"memory_mb"`
 	Sockets      int    `toml:"sockets" json:"sockets"`
 	DiskMB       int    `toml:"disk_mb" json:"disk_mb"`
-	MaxHeld      int    `toml:"most_held" json:"most_held"`
-	Relays       int    `toml:"relays" json:"relays"` // size of the fleet according to the relay's settings
+	MaxHeld      int    `toml:"most_held" json:"most_held"` // messages that the relay holds at most
+	Relays       int    `toml:"relays" json:"relays"`       // size of the fleet according to the relay's settings
 }
 
 // Load is the work that relay processes are given.
@@ -79,17 +79,17 @@
 // history to tell from whether it is up.
 type History struct {
 	Relays         int     `toml:"relays" json:"relays"`               // relays in the whole fleet
-	Simulated      int     `toml:"played" json:"played"`               // relays in the simulation; capacity is scaled to them
+	Simulated      int     `toml:"played" json:"played"`               // simulated relays; capacity is scaled to them
 	EventsPerS     float64 `toml:"events_per_s" json:"events_per_s"`   // messages per second at one relay
 	Seconds        float64 `toml:"seconds" json:"seconds"`             // simulated time
-	DownShare      float64 `toml:"down_share" json:"down_share"`       // share of the destinations that is down at any time
+	DownShare      float64 `toml:"down_share" json:"down_share"`       // share of destinations down at any time
 	DownMeanS      float64 `toml:"down_mean_s" json:"down_mean_s"`     // mean duration of an outage
-	Zipf           float64 `toml:"zipf" json:"zipf"`                   // exponent of the destinations' weights; 0 for equal ones
-	Headroom       float64 `toml:"headroom" json:"headroom"`           // capacity of a destination divided by its mean traffic
+	Zipf           float64 `toml:"zipf" json:"zipf"`                   // exponent of the weights; 0 for equal weights
+	Headroom       float64 `toml:"headroom" json:"headroom"`           // capacity of a destination over its mean traffic
 	DeadlineS      float64 `toml:"deadline_s" json:"deadline_s"`       // deadline of a message
 	RoundTripMS    float64 `toml:"round_trip_ms" json:"round_trip_ms"` // mean round trip of a call
-	SilentShare    float64 `toml:"silent_share" json:"silent_share"`   // share of outages in which calls get no response
-	ThrottledShare float64 `toml:"told_share" json:"told_share"`       // share of outages with 429 and Retry-After responses
+	SilentShare    float64 `toml:"silent_share" json:"silent_share"`   // share of outages without any response
+	ThrottledShare float64 `toml:"told_share" json:"told_share"`       // share of outages with 429 and Retry-After
 	RetryAfterS    float64 `toml:"told_wait_s" json:"told_wait_s"`     // Retry-After of these responses
 	MaxHeld        int     `toml:"most_held" json:"most_held"`         // messages that a relay holds at most
 }
@@ -98,7 +98,8 @@
 var Kinds = map[string]string{}
 
 // runFunc measures all sizes of an experiment and adds the figures to the result.
-type runFunc func(ctx context.Context, x *Experiment, res *Result, g *resourceLimiter, log *slog.Logger) error
+type runFunc func(ctx context.Context, exp *Experiment, result *Result, limiter *resourceLimiter,
+	log *slog.Logger) error
 
 var runFuncs = map[string]runFunc{}
 
@@ -122,7 +123,8 @@
 	exp := &Experiment{Turns: 1, Limits: Limits{Seconds: 600, MemoryMB: 4096, Processes: 2},
 		Relay: Relay{Program: "bin/troutusher", Destinations: 1000, MemoryMB: 256, Sockets: 8192, DiskMB: 1024,
 			MaxHeld: 100000, Relays: 3},
-		Load:  Load{Messages: 1000, Connections: 8, DeadlineMS: 60000, BodyBytes: 200, Changes: 50, Reloads: 10, Reconnects: 5},
+		Load: Load{Messages: 1000, Connections: 8, DeadlineMS: 60000, BodyBytes: 200, Changes: 50, Reloads: 10,
+			Reconnects: 5},
 		Fleet: Fleet{Zones: 4, RackSize: 20, Fault: "silent", KnownList: true, DownS: 5, IdleS: 4, TimeoutS: 120},
 		History: History{Relays: 3000, Simulated: 10, EventsPerS: 157, Seconds: 120, DownShare: 0.024, DownMeanS: 60,
 			Headroom: 2, DeadlineS: 8, RoundTripMS: 30, SilentShare: 0.5, MaxHeld: 100000},
--- a/internal/rig/experiment/experiment_test.go
+++ b/internal/rig/experiment/experiment_test.go
@@ -38,7 +38,8 @@
 // TestLimits checks that a run ends when it exceeds its limit of time or memory, that a limit above the machine's
 // memory is rejected, and that no more relays start than the limit of processes allows.
 func TestLimits(t *testing.T) {
-	runFuncs["wait"] = func(ctx context.Context, _ *Experiment, result *Result, _ *resourceLimiter, _ *slog.Logger) error {
+	runFuncs["wait"] = func(ctx context.Context, _ *Experiment, result *Result, _ *resourceLimiter,
+		_ *slog.Logger) error {
 		result.add(1, 0, map[string]float64{"x": 1})
 		<-ctx.Done()
 		return ctx.Err()
@@ -52,7 +53,8 @@
 			t.Errorf("%s: got error %v and result %+v, want an error with the key and one point", key, err, result)
 		}
 	}
-	if _, err := Run(context.Background(), &Experiment{Kind: "wait", Limits: Limits{Seconds: 1, MemoryMB: 1 << 30}}, log); err == nil {
+	if _, err := Run(context.Background(), &Experiment{Kind: "wait",
+		Limits: Limits{Seconds: 1, MemoryMB: 1 << 30}}, log); err == nil {
 		t.Error("got no error for a memory limit above the machine's memory")
 	}
 	limiter, err := newResourceLimiter(context.Background(), &Limits{Seconds: 600, MemoryMB: 1024})
--- a/internal/rig/experiment/fleet.go
+++ b/internal/rig/experiment/fleet.go
@@ -64,8 +64,8 @@
 	defer fleet.Stop(all...)
 	figures := map[string]float64{}
 	timeout := time.Duration(exp.Fleet.TimeoutS * float64(time.Second))
-	// measure runs an operation and waits until the revision is in force at the given relays. It records how long that
-	// takes, and the requests to discovery and the bytes sent by it in that time.
+	// measure runs an operation and waits until the revision is in force at the given relays. It records how long
+	// that takes, and the requests to discovery and the bytes sent by it in that time.
 	measure := func(name string, relays []int, revision int64, operation func() error) error {
 		ctx, cancel := context.WithTimeoutCause(ctx, timeout,
 			fmt.Errorf("fleet.within_s: not finished after %v s", exp.Fleet.TimeoutS))
@@ -92,7 +92,8 @@
 		}
 		figures[name+"_asked"] = float64(requestsAfter.Asked() - requestsBefore.Asked())
 		figures[name+"_asked_per_s"] = float64(maxPerSecond)
-		figures[name+"_sent_bytes"] = float64(requestsAfter.SentBytes - requestsAfter.BeatBytes - requestsBefore.SentBytes + requestsBefore.BeatBytes)
+		figures[name+"_sent_bytes"] = float64(requestsAfter.SentBytes - requestsAfter.BeatBytes -
+			requestsBefore.SentBytes + requestsBefore.BeatBytes)
 		return nil
 	}
 	if err := measure("start", all, 1, func() error { return fleet.Start(false, all...) }); err != nil {
@@ -113,8 +114,10 @@
 		return figures, err
 	}
 	requestsAfter := reg.Total(0)
-	figures["ordinary_sent_bytes_per_s"] = float64(requestsAfter.SentBytes-requestsBefore.SentBytes) / idlePeriod.Seconds()
-	figures["ordinary_asked_per_s"] = float64(requestsAfter.Asked()-requestsBefore.Asked()) / idlePeriod.Seconds()
+	figures["ordinary_sent_bytes_per_s"] =
+		float64(requestsAfter.SentBytes-requestsBefore.SentBytes) / idlePeriod.Seconds()
+	figures["ordinary_asked_per_s"] =
+		float64(requestsAfter.Asked()-requestsBefore.Asked()) / idlePeriod.Seconds()
 	nextRevision := catalog.Revision() + 1
 	if err := measure("change", all, nextRevision, func() error {
 		catalog.Replace(int(nextRevision) % catalog.Len())
@@ -152,7 +155,8 @@
 }
 
 // waitForWatches waits, after the start only, until each relay has opened its watch.
-func waitForWatches(ctx context.Context, reg *registry.Registry, before registry.Count, relays int, name string) error {
+func waitForWatches(ctx context.Context, reg *registry.Registry, before registry.Count, relays int,
+	name string) error {
 	if name != "start" {
 		return nil
 	}
--- a/internal/rig/experiment/guard.go
+++ b/internal/rig/experiment/guard.go
@@ -34,7 +34,8 @@
 	}
 	memoryLimit := int64(limits.MemoryMB) << 20
 	if memoryLimit > total/2 {
-		return nil, fmt.Errorf("limits.memory_mb: %d, want at most %d, half of this machine's memory", limits.MemoryMB, total>>21)
+		return nil, fmt.Errorf("limits.memory_mb: %d, want at most %d, half of this machine's memory",
+			limits.MemoryMB, total>>21)
 	}
 	limiter := &resourceLimiter{relays: map[*process.Relay]bool{}, maxRelays: limits.Processes}
 	ctx, stop := context.WithTimeoutCause(ctx, time.Duration(limits.Seconds)*time.Second,
--- a/internal/rig/experiment/policy.go
+++ b/internal/rig/experiment/policy.go
@@ -28,8 +28,7 @@
 	})
 }
 
-// heapInUse returns the size of live heap objects in bytes. The second collection frees what finalizers and pools
-// kept alive during the first.
+// heapInUse returns the size of the heap objects that remain after garbage collection, in bytes.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -38,8 +37,8 @@
 	return float64(stats.HeapAlloc)
 }
 
-// measurePolicy measures time and heap memory at one size: of the full list, of messages that are delivered, of single
-// changes of the list, and of changed settings.
+// measurePolicy measures time and heap memory at one size: of the full list, of messages that are delivered, of
+// single changes of the list, and of changed settings.
 func measurePolicy(ctx context.Context, exp *Experiment, size int) (map[string]float64, error) {
 	figures := map[string]float64{}
 	settings := hollow.Settings(exp.Relay.Relays)
--- a/internal/rig/experiment/processes.go
+++ b/internal/rig/experiment/processes.go
@@ -19,8 +19,8 @@
 
 func init() {
 	for _, entry := range []struct {
-		kind, what string
-		play       func(*testbed, int) (map[string]float64, error)
+		kind, description string
+		measure           func(*testbed, int) (map[string]float64, error)
 	}{
 		{"listed", "start of a relay process, by destinations listed", (*testbed).measureListed},
 		{"active", "relay process, by destinations that got a message", (*testbed).measureActive},
@@ -29,11 +29,11 @@
 		{"events", "relay process, by messages delivered", (*testbed).measureEvents},
 		{"operations", "cost of each operation of a relay process, by destinations listed", (*testbed).measureOperations},
 	} {
-		register(entry.kind, entry.what, func(ctx context.Context, exp *Experiment, result *Result,
+		register(entry.kind, entry.description, func(ctx context.Context, exp *Experiment, result *Result,
 			limiter *resourceLimiter, log *slog.Logger) error {
 			for turn := range exp.Turns {
 				for _, size := range exp.Sizes {
-					figures, err := measureRelay(exp, limiter, entry.kind, size, entry.play)
+					figures, err := measureRelay(exp, limiter, entry.kind, size, entry.measure)
 					if err != nil {
 						return fmt.Errorf("size %d: %w", size, err)
 					}
@@ -93,8 +93,8 @@
 		}
 		defer (*server).Close()
 	}
-	bed.catalog, err = registry.NewCatalog(registry.Spec{Destinations: bed.dests, Seed: exp.Seed, Shuffled: exp.Relay.Shuffled,
-		Rate: 1000000, Addr: bed.addr})
+	bed.catalog, err = registry.NewCatalog(registry.Spec{Destinations: bed.dests, Seed: exp.Seed,
+		Shuffled: exp.Relay.Shuffled, Rate: 1000000, Addr: bed.addr})
 	if err != nil {
 		return nil, err
 	}
@@ -249,8 +249,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"rss_bytes": float64(after.ResidentBytes), "growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
-		"cpu_us": float64((after.CPU - before.CPU).Microseconds())}, nil
+	return map[string]float64{"rss_bytes": float64(after.ResidentBytes),
+		"growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
+		"cpu_us":       float64((after.CPU - before.CPU).Microseconds())}, nil
 }
 
 // measureEvents measures the delivery of size messages, to the live destinations in turn.
@@ -266,8 +267,8 @@
 // longRetryAfter is a Retry-After that outlasts any experiment.
 const longRetryAfter = 10 * time.Minute
 
-// measureHeld measures size messages that the relay holds because all destinations reply with a long Retry-After, then
-// a restart that recovers them from the log, and then a restart after which all of them are delivered.
+// measureHeld measures size messages that the relay holds because all destinations reply with a long Retry-After,
+// then a restart that recovers them from the log, and then a restart after which all of them are delivered.
 func (b *testbed) measureHeld(size int) (map[string]float64, error) {
 	b.initialServer.Set(partner.Answer{Wait: longRetryAfter})
 	before, after, err := b.measureUsage(func() error { return b.submitAll("m", size) })
@@ -294,8 +295,8 @@
 	figures["replay_cpu_us"] = float64(usage.CPU.Microseconds())
 	figures["replay_rss_bytes"], figures["replay_peak_bytes"] =
 		float64(usage.ResidentBytes), float64(usage.PeakResidentBytes)
-	// The relay is restarted again, now with endpoints that deliver. It sends at once, since a Retry-After is known only
-	// to the process that received it.
+	// The relay is restarted again, now with endpoints that deliver. It sends at once, since a Retry-After is known
+	// only to the process that received it.
 	b.limiter.killRelay(b.relay)
 	servedBefore := b.initialServer.Served.Load()
 	b.initialServer.Set(partner.Answer{})
@@ -338,8 +339,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return map[string]float64{"rss_bytes": float64(after.ResidentBytes), "growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
-		"cpu_us": float64((after.CPU - before.CPU).Microseconds())}, nil
+	return map[string]float64{"rss_bytes": float64(after.ResidentBytes),
+		"growth_bytes": float64(after.ResidentBytes - before.ResidentBytes),
+		"cpu_us":       float64((after.CPU - before.CPU).Microseconds())}, nil
 }
 
 // measureOperations measures the cost of each kind of operation with size destinations listed.
@@ -354,7 +356,7 @@
 		{"event", load.Messages, func(n int) error { return b.deliver("e", n) }},
 		{"told_wait", min(load.Messages, b.liveDests), b.throttleMessages},
 		{"change", load.Changes, func(n int) error {
-			for i := range n { // replaces endpoints from the end of the list
+			for i := range n { // replaces endpoints of destinations that get no messages
 				b.catalog.Replace((b.dests - 1 - i%b.dests) * endpointsPerDest)
 				time.Sleep(5 * time.Millisecond)
 			}
@@ -392,7 +394,7 @@
 			figures[operation.name+"_sent_bytes"] = float64(sent) / float64(operation.count)
 		}
 	}
-	figures["told_wait_cpu_us"] -= figures["event_cpu_us"] // a throttled message is delivered too, which is not counted here
+	figures["told_wait_cpu_us"] -= figures["event_cpu_us"] // without the delivery after the throttling
 	var times []time.Duration
 	for i := range min(load.Changes, b.liveDests) {
 		delay, err := b.measureChangeDelay(i)
@@ -430,7 +432,9 @@
 // reloadConfig changes the configuration file n times, each time followed by SIGHUP.
 func (b *testbed) reloadConfig(n int) error {
 	for i := range n {
-		err := b.relay.WriteConfig(func(settings map[string]any) { settings["limits"].(map[string]any)["probing"] = i%2 == 1 })
+		err := b.relay.WriteConfig(func(settings map[string]any) {
+			settings["limits"].(map[string]any)["probing"] = i%2 == 1
+		})
 		if err == nil {
 			err = b.relay.Signal(syscall.SIGHUP)
 		}
@@ -444,8 +448,8 @@
 	return nil
 }
 
-// reconnectWatch resets the relay's connections to discovery n times, each time until the relay has opened a new watch
-// and is idle.
+// reconnectWatch resets the relay's connections to discovery n times, each time until the relay has opened a new
+// watch and is idle.
 func (b *testbed) reconnectWatch(n int) error {
 	for range n {
 		watchesBefore := b.registry.Total(0).Watches
@@ -460,8 +464,8 @@
 	return nil
 }
 
-// measureChangeDelay replaces both endpoints of a destination by endpoints on the other server, and returns how long it
-// takes until the relay sends a message there. It hands in one message at a time, about one per millisecond.
+// measureChangeDelay replaces both endpoints of a destination by endpoints on the other server, and returns how long
+// it takes until the relay sends a message there. It hands in one message at a time, about one per millisecond.
 func (b *testbed) measureChangeDelay(i int) (time.Duration, error) {
 	client, err := process.Dial(b.relay.Addr)
 	if err != nil {
@@ -477,7 +481,8 @@
 		servers := []*partner.Server{b.initialServer, b.replacementServer}
 		callsBefore := []int64{b.initialServer.Calls.Load(), b.replacementServer.Calls.Load()}
 		sentAt := time.Now()
-		reply, err := client.Put(fmt.Sprintf("f-%d-%d", i, n), dest, time.Duration(b.exp.Load.DeadlineMS)*time.Millisecond, "x")
+		reply, err := client.Put(fmt.Sprintf("f-%d-%d", i, n), dest,
+			time.Duration(b.exp.Load.DeadlineMS)*time.Millisecond, "x")
 		if err != nil {
 			return 0, err
 		}
--- a/internal/rig/experiment/processes_test.go
+++ b/internal/rig/experiment/processes_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestRealRelay runs each kind of experiment with a relay process at a small size, and checks that the run ends without
-// an error and has its figures.
+// TestRealRelay runs each kind of experiment with a relay process at a small size, and checks that the run ends
+// without an error and has its figures.
 func TestRealRelay(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "troutusher")
 	if out, err := exec.Command("go", "build", "-o", program, "troutusher/cmd/troutusher").CombinedOutput(); err != nil {
@@ -23,7 +23,8 @@
 		"connections": {"rss_bytes"},
 		"operations":  {"change_sent_bytes", "reconnect_sent_bytes", "full_list_sent_bytes", "change_in_force_last_ms"},
 	} {
-		exp, err := Parse([]byte("name = \"x\"\nkind = \"" + kind + "\"\nunit = \"x\"\nsizes = [30]\n[load]\nmessages = 30\nchanges = 2\n" +
+		exp, err := Parse([]byte("name = \"x\"\nkind = \"" + kind +
+			"\"\nunit = \"x\"\nsizes = [30]\n[load]\nmessages = 30\nchanges = 2\n" +
 			"reloads = 1\nreconnects = 1\ndeadline_ms = 600000\n[relay]\ndestinations = 40\n"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/rig/hollow/fleet.go
+++ b/internal/rig/hollow/fleet.go
@@ -1,5 +1,7 @@
-// Package hollow runs relays without a data path, hundreds to thousands in one process: each has the real policy and
-// the real client of discovery, with its list handling, over a loopback socket of its own.
+// Package hollow runs simulated relays, called hollow, without sockets for clients and endpoints: hundreds to
+// thousands in one process. In a Fleet each relay has the policy and the discovery client of a relay process, with
+// its own address for discovery on the loopback interface. RunPath simulates the data path instead, with the policy
+// alone.
 package hollow
 
 import (
@@ -15,19 +17,19 @@
 	"troutusher/internal/rig/world"
 )
 
-// Follow keeps a watch on discovery and hands on its news until ctx ends.
-type FollowFunc func(ctx context.Context, addr string, known *relay.List, news func(*relay.List))
+// FollowFunc watches discovery and passes each full list and each delta to handle, until ctx ends.
+type FollowFunc func(ctx context.Context, addr string, known *relay.List, handle func(*relay.List))
 
-// Options say how a fleet is made.
+// Options configures a fleet.
 type Options struct {
 	Spec     world.Spec
 	Settings decide.Settings
 	Seed     uint64
 	Log      *slog.Logger
-	Follow   FollowFunc // nil means that of a running relay
+	Follow   FollowFunc // nil for relay.Follow, the one of a relay process
 }
 
-// Fleet is a number of hollow relays at one registry.
+// Fleet is a number of hollow relays that use the same registry.
 type Fleet struct {
 	opts      Options
 	registry  *registry.Registry
@@ -35,10 +37,10 @@
 	startedAt time.Time
 
 	mu              sync.Mutex
-	endpointNumbers map[string]decide.Endpoint // the same at all of them
+	endpointNumbers map[string]decide.Endpoint // by ID; the same for all relays
 }
 
-// Relay is one hollow relay.
+// Relay is one hollow relay of a fleet.
 type Relay struct {
 	fleet *Fleet
 	Agent *registry.Agent
@@ -46,16 +48,16 @@
 
 	mu               sync.Mutex
 	policy           *decide.Policy
-	lastFullList     *relay.List // as it last had it, of a whole list only
-	revision         int64
-	inForceAt        map[int64]time.Time // when a revision that is waited for, or a later one, was in force
-	expectedRevision int64
+	lastFullList     *relay.List         // without the deltas after it; a restart may begin with it
+	revision         int64               // the revision in force
+	inForceAt        map[int64]time.Time // when the expected revision, or a later one, came into force
+	expectedRevision int64               // the key of inForceAt; 0 for none
 	cancel           context.CancelFunc
 	done             chan struct{}
 	actions          []decide.Action
 }
 
-// New makes a fleet; its relays run once they are started.
+// New returns a fleet whose relays have an address for discovery each, and are not started.
 func New(reg *registry.Registry, opts Options) (*Fleet, error) {
 	fleet := &Fleet{opts: opts, registry: reg, endpointNumbers: map[string]decide.Endpoint{}, startedAt: time.Now()}
 	if fleet.opts.Follow == nil {
@@ -74,13 +76,13 @@
 	return fleet, nil
 }
 
-// Relay is one of the fleet.
+// Relay returns the relay with an index.
 func (f *Fleet) Relay(i int) *Relay { return f.relays[i] }
 
-// Len is the number of relays.
+// Len returns the number of relays.
 func (f *Fleet) Len() int { return len(f.relays) }
 
-// All are the numbers of all relays.
+// RelayIndexes returns the indexes of all relays.
 func (f *Fleet) RelayIndexes() []int {
 	list := make([]int, len(f.relays))
 	for i := range list {
@@ -89,8 +91,8 @@
 	return list
 }
 
-// Start runs relays. known tells whether each begins with the list that it last had, as a restart does whose
-// configuration holds one.
+// Start starts relays. With withKnownList each begins with the last full list that it had before it was stopped,
+// like a relay process whose configuration contains a list.
 func (f *Fleet) Start(withKnownList bool, relays ...int) error {
 	for _, i := range relays {
 		if err := f.relays[i].start(withKnownList); err != nil {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// Stop ends relays and waits for their ends.
+// Stop stops relays and waits until they have stopped.
 func (f *Fleet) Stop(relays ...int) {
 	for _, i := range relays {
 		if r := f.relays[i]; r.cancel != nil {
@@ -115,7 +117,7 @@
 	}
 }
 
-// Set changes the way to discovery of relays.
+// SetCondition sets the condition of the path between relays and discovery, such as a fault.
 func (f *Fleet) SetCondition(condition registry.Condition, relays ...int) error {
 	for _, i := range relays {
 		if err := f.relays[i].Agent.Set(condition); err != nil {
@@ -125,8 +127,10 @@
 	return nil
 }
 
-// Reached waits until all of the given relays have a revision in force, and tells how long each took from a moment.
-func (f *Fleet) WaitForRevision(ctx context.Context, revision int64, since time.Time, relays ...int) ([]time.Duration, error) {
+// WaitForRevision waits until a revision is in force at all of the given relays, and returns how long after since
+// that was at each. If ctx ends first, it returns the times of the relays that have the revision, and an error.
+func (f *Fleet) WaitForRevision(ctx context.Context, revision int64, since time.Time, relays ...int) (
+	[]time.Duration, error) {
 	for _, i := range relays {
 		f.relays[i].expectRevision(revision)
 	}
@@ -142,13 +146,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			return times, fmt.Errorf("%d of %d relays have revision %d: %w", len(times), len(relays), revision, context.Cause(ctx))
+			return times, fmt.Errorf("%d of %d relays have revision %d: %w",
+				len(times), len(relays), revision, context.Cause(ctx))
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// Expect has relays note when a revision is in force; it is called before that can be.
+// ExpectRevision makes relays record when a revision comes into force. It must be called before the revision can
+// reach them.
 func (f *Fleet) ExpectRevision(revision int64, relays ...int) {
 	for _, i := range relays {
 		f.relays[i].expectRevision(revision)
@@ -167,6 +173,7 @@
 	}
 }
 
+// expectedRevisionAt returns when the expected revision came into force, and whether it has.
 func (r *Relay) expectedRevisionAt() (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,13 +181,14 @@
 	return at, ok
 }
 
-// Revision is the one that is in force.
+// Revision returns the revision of the list that is in force.
 func (r *Relay) Revision() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
+// start starts the relay with a new policy. Without a known list it asks discovery for the full list.
 func (r *Relay) start(withKnownList bool) error {
 	policy, err := decide.New(r.fleet.opts.Settings, r.fleet.opts.Seed+uint64(r.index))
 	if err != nil {
@@ -204,7 +212,7 @@
 	return nil
 }
 
-// news puts a list, or what changed in it, in force.
+// applyList puts a full list or a delta into force.
 func (r *Relay) applyList(list *relay.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -219,7 +227,7 @@
 	}
 }
 
-// book tells the policy. The caller holds the lock.
+// stepPolicy passes a list to the policy. The caller holds mu.
 func (r *Relay) stepPolicy(list *relay.List, kind decide.ListNews) {
 	if len(list.Members) == 0 && kind == decide.ListChange {
 		return
@@ -234,12 +242,15 @@
 		case "removed":
 			state = decide.Gone
 		}
-		event.Entries = append(event.Entries, decide.Entry{Endpoint: r.fleet.endpointNumber(member.ID), Dest: member.Cell, State: state, Rate: member.Size})
+		event.Entries = append(event.Entries, decide.Entry{Endpoint: r.fleet.endpointNumber(member.ID), Dest: member.Cell,
+			State: state, Rate: member.Size})
 	}
-	r.actions = r.policy.Step(decide.Time(3600e6)+time.Since(r.fleet.startedAt).Microseconds(), []decide.Event{event}, r.actions[:0])
+	r.actions = r.policy.Step(decide.Time(3600e6)+time.Since(r.fleet.startedAt).Microseconds(),
+		[]decide.Event{event}, r.actions[:0])
 }
 
-// number is that of an endpoint, the same for all relays.
+// endpointNumber returns the number of an endpoint ID, which is the same for all relays. A new ID gets the next
+// number.
 func (f *Fleet) endpointNumber(id string) decide.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rig/hollow/fleet_test.go
+++ b/internal/rig/hollow/fleet_test.go
@@ -11,22 +11,22 @@
 	"troutusher/internal/rig/world"
 )
 
-// told is how long after discovery's return word counts as told at the latest.
+// maxRecoveryTime is the time after the end of an outage of discovery within which its list must be in force.
 const maxRecoveryTime = 6 * time.Second
 
-// TestDiscoveryComesBack: where discovery was silent for 300 relays at once, what it has is in force at all of them
-// within the time in which it counts as told, and they don't ask more than it takes: one request of each that is open
-// then, and some more while it is down.
+// TestFleetRecoversFromSilentDiscovery checks recovery after discovery sent nothing to 300 relays for 8 s: its
+// newest revision comes into force at all relays within maxRecoveryTime, and they don't overload discovery with
+// requests. Each relay has one request open when discovery recovers, and has made a few more while it was silent.
 func TestFleetRecoversFromSilentDiscovery(t *testing.T) {
-	const relays, down = 300, 8 * time.Second // a watch that says nothing for 3.5 s is opened anew
+	const relays, down = 300, 8 * time.Second // long enough for a relay to reopen its watch, after 3.5 s of silence
 	catalog, err := registry.NewCatalog(registry.Spec{Destinations: 30, Seed: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
 	reg := registry.New(catalog)
 	defer reg.Close()
-	fleet, err := New(reg, Options{Spec: world.Spec{Relays: relays, Regions: 2, Zones: 4, RackSize: 20}, Settings: Settings(relays),
-		Seed: 1, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	fleet, err := New(reg, Options{Spec: world.Spec{Relays: relays, Regions: 2, Zones: 4, RackSize: 20},
+		Settings: Settings(relays), Seed: 1, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,17 +44,17 @@
 	}
 	start := reg.Total(0)
 	if start.Lists != relays {
-		t.Errorf("%d askings for the whole list at the start of %d relays", start.Lists, relays)
+		t.Errorf("start: got %d requests for the full list, want %d, one from each relay", start.Lists, relays)
 	}
 	if err := fleet.SetCondition(registry.Condition{Fault: registry.Silent}, fleet.RelayIndexes()...); err != nil {
 		t.Fatal(err)
 	}
 	revision := catalog.Replace(7)
 	fleet.ExpectRevision(revision, fleet.RelayIndexes()...)
-	time.Sleep(down) // it is silent for so long; nothing is waited for
+	time.Sleep(down) // the duration of the fault, not a wait for an event
 	for _, i := range fleet.RelayIndexes() {
 		if fleet.Relay(i).Revision() == revision {
-			t.Fatal("silent discovery told something")
+			t.Fatal("a relay got a revision from silent discovery")
 		}
 	}
 	recoveredAt := time.Now()
@@ -74,19 +74,21 @@
 	for _, second := range reg.Seconds() {
 		maxPerSecond = max(maxPerSecond, second.Asked())
 	}
-	t.Logf("the last after %v; %d askings since the start, at most %d in a second, %d bytes", last, end.Asked()-start.Asked(), maxPerSecond, end.SentBytes-start.SentBytes)
+	t.Logf("revision in force at the last relay after %v; %d requests since the start, at most %d in a second, %d bytes",
+		last, end.Asked()-start.Asked(), maxPerSecond, end.SentBytes-start.SentBytes)
 	if last > maxRecoveryTime {
-		t.Errorf("in force at the last relay after %v", last)
+		t.Errorf("revision in force at the last relay after %v, want at most 6s", last)
 	}
 	if requests := end.Asked() - start.Asked(); requests < relays || requests > 6*relays {
-		t.Errorf("%d askings of %d relays", requests, relays)
+		t.Errorf("got %d requests from %d relays since the start, want 1 to 6 from each", requests, relays)
 	}
-	if maxPerSecond > 2*relays { // as many as at a start
-		t.Errorf("%d askings in one second", maxPerSecond)
+	if maxPerSecond > 2*relays { // as many as at the start
+		t.Errorf("got %d requests in one second, want at most 2 from each relay", maxPerSecond)
 	}
 }
 
-// TestKnownListSavesAsking: a restart with the list that was had before asks for what is new alone.
+// TestRestartWithKnownListFetchesChangesOnly checks that a relay that restarts with its last list opens a watch from
+// the revision of that list, and does not request the full list.
 func TestRestartWithKnownListFetchesChangesOnly(t *testing.T) {
 	catalog, err := registry.NewCatalog(registry.Spec{Destinations: 500, Seed: 5})
 	if err != nil {
@@ -94,7 +96,8 @@
 	}
 	reg := registry.New(catalog)
 	defer reg.Close()
-	fleet, err := New(reg, Options{Spec: world.Spec{Relays: 2}, Settings: Settings(2), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	fleet, err := New(reg, Options{Spec: world.Spec{Relays: 2}, Settings: Settings(2),
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,6 +124,7 @@
 	}
 	after := reg.Total(0)
 	if after.Lists != before.Lists || after.Watches-before.Watches != 1 || after.FirstBytes-before.FirstBytes > 1000 {
-		t.Errorf("a restart with a known list: %+v, before %+v", after, before)
+		t.Errorf("restart with a known list: got counts %+v, before %+v, want one more watch and no full list",
+			after, before)
 	}
 }
--- a/internal/rig/hollow/path.go
+++ b/internal/rig/hollow/path.go
@@ -11,32 +11,34 @@
 	"troutusher/internal/rig/world"
 )
 
-// PathOptions say what hollow relays send to partners that are a model, on the model's own clock.
+// PathOptions configures a simulation of the data path: what hollow relays send, and how destinations respond. It
+// runs on simulated time.
 type PathOptions struct {
 	Settings          decide.Settings
 	Seed              uint64
-	Relays            int // that are played
-	MessagesPerSecond float64
-	Duration          time.Duration
-	Weights           *world.Weights
+	Relays            int            // simulated relays
+	MessagesPerSecond float64        // arrivals at each relay
+	Duration          time.Duration  // simulated time in which messages arrive
+	Weights           *world.Weights // shares of the destinations in the messages
 	Partners          *partner.Model
-	Outages           *world.Outages         // the partners', to tell messages apart by
-	ListedCapacity    func(dest int) float64 // as listed
-	MeanRoundTrip     time.Duration          // mean of a call
+	Outages           *world.Outages         // outages of Partners, by which messages and calls are counted as up or down
+	ListedCapacity    func(dest int) float64 // capacity in the list, in calls per second
+	MeanRoundTrip     time.Duration
 }
 
-// PathCount is what came of it.
+// PathCounts are the counts of one simulation. Down and up refer to the destination at the arrival of the message, or
+// at the start of the call.
 type PathCounts struct {
 	Messages, Delivered, HandedBack, GivenUp int
-	MessagesToDown, DeliveredDown            int // for destinations that were down as they came
-	UntriedUp                                int // for sound destinations, ended with no call
-	Calls, FailedCalls, CallsToDown          int // calls in all, not delivered, and to what was down
-	BusyReplies                              int // turned away by a sound destination
-	RelayDestPairs                           int // pairs of a relay and a destination that met
+	MessagesToDown, DeliveredDown            int // messages whose destination was down, and those of them delivered
+	UntriedUp                                int // messages whose destination was up and that ended without a call
+	Calls, FailedCalls, CallsToDown          int // all; those that did not deliver; those to a down destination
+	BusyReplies                              int // calls rejected by a destination that was up
+	RelayDestPairs                           int // pairs of a relay and a destination with at least one message
 	DeliveryTimes                            []time.Duration
 }
 
-// path is the hollow data path: relays with the real policy, and no sockets.
+// dataPath simulates the data path of relays that have the policy of a relay process and no sockets.
 type dataPath struct {
 	opts   PathOptions
 	rng    *rand.Rand
@@ -45,24 +47,27 @@
 	counts PathCounts
 }
 
+// pathRelay is one simulated relay.
 type pathRelay struct {
 	policy        *decide.Policy
-	listed        map[int]bool
+	listed        map[int]bool // destinations whose endpoints the policy knows
 	messages      map[uint32]*pathMessage
 	lastMessage   uint32
-	pendingTimers map[decide.Time]bool // that are set
+	pendingTimers map[decide.Time]bool // by the time at which the timer fires
 	actions       []decide.Action
 }
 
+// pathMessage is a message that has not ended, or has an attempt in flight.
 type pathMessage struct {
 	dest, attempts  int
 	arrivedAt       decide.Time
-	destDown        bool
-	inFlightAttempt int // the attempt that is out; -1 for none
+	destDown        bool // the destination was down when the message arrived
+	inFlightAttempt int  // number of the attempt in flight; -1 for none
 	ended           bool
 }
 
-// pathEvent is what is to happen at one relay: its next message (message 0), a timer, or the end of an attempt.
+// pathEvent is a future event at one relay: a timer, the outcome of an attempt (message is not 0), or else the
+// arrival of the next message.
 type pathEvent struct {
 	relay   int
 	timer   bool
@@ -71,11 +76,12 @@
 }
 
 const (
-	modelStart      = 3600 * second
+	modelStart      = 3600 * second // the policy's time at the start of the simulation
 	timerResolution = second / 1000
 )
 
-// RunPath plays the data path for a span of the model's time.
+// RunPath simulates the data path. After opts.Duration no more messages arrive, and the simulation goes on for twice
+// the deadline at most.
 func RunPath(ctx context.Context, opts PathOptions) (*PathCounts, error) {
 	path := &dataPath{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 0x70617468))}
 	for i := range opts.Relays {
@@ -83,18 +89,20 @@
 		if err != nil {
 			return nil, err
 		}
-		path.relays = append(path.relays, &pathRelay{policy: policy, listed: map[int]bool{}, pendingTimers: map[decide.Time]bool{}, messages: map[uint32]*pathMessage{}})
+		path.relays = append(path.relays, &pathRelay{policy: policy, listed: map[int]bool{},
+			pendingTimers: map[decide.Time]bool{}, messages: map[uint32]*pathMessage{}})
 		path.queue.Add(int64(modelStart+path.nextInterval()), pathEvent{relay: i})
 	}
 	end := modelStart + decide.Time(opts.Duration.Microseconds())
 	lastEventAt := end + 2*opts.Settings.Classes[0].Deadline
 	for step := 0; ; step++ {
 		at, event, ok := path.queue.Next()
-		if !ok || decide.Time(at) > lastEventAt { // a policy's timers go on for as long as an outage does
+		if !ok || decide.Time(at) > lastEventAt { // the policy keeps setting timers for as long as an outage lasts
 			return &path.counts, nil
 		}
 		if step&4095 == 0 && ctx.Err() != nil {
-			return &path.counts, fmt.Errorf("model time %v: %w", time.Duration(at-int64(modelStart))*time.Microsecond, context.Cause(ctx))
+			return &path.counts, fmt.Errorf("simulated time %v: %w",
+				time.Duration(at-int64(modelStart))*time.Microsecond, context.Cause(ctx))
 		}
 		r := path.relays[event.relay]
 		switch now := decide.Time(at); {
@@ -112,16 +120,18 @@
 	}
 }
 
+// nextInterval draws the time until the next message at a relay (Poisson arrivals).
 func (p *dataPath) nextInterval() decide.Time {
 	return decide.Time(p.rng.ExpFloat64()/p.opts.MessagesPerSecond*1e6) + 1
 }
 
+// modelTime converts a policy's time to the time since the start of the simulation.
 func modelTime(now decide.Time) time.Duration {
 	return time.Duration(now-modelStart) * time.Microsecond
 }
 
-// arrive hands a relay a message. What it has of the list is what it has had a message for: a destination that it
-// knows from the list alone is no different to the policy from one that it is told of now.
+// arrive hands in the next message to a relay. The relay's list has only the destinations of its messages, each added
+// with its first message. To the policy a destination known for longer without a message makes no difference.
 func (p *dataPath) arrive(relay int, now decide.Time) {
 	r := p.relays[relay]
 	dest := p.opts.Weights.Draw(p.rng)
@@ -131,8 +141,8 @@
 		p.counts.RelayDestPairs++
 		listEvent := decide.Event{Kind: decide.EvList, List: decide.ListChange}
 		for k := range 2 {
-			listEvent.Entries = append(listEvent.Entries, decide.Entry{Endpoint: decide.Endpoint(2*dest + k + 1), Dest: dest, State: decide.Ready,
-				Rate: p.opts.ListedCapacity(dest)})
+			listEvent.Entries = append(listEvent.Entries, decide.Entry{Endpoint: decide.Endpoint(2*dest + k + 1), Dest: dest,
+				State: decide.Ready, Rate: p.opts.ListedCapacity(dest)})
 		}
 		events = append(events, listEvent)
 	}
@@ -147,7 +157,7 @@
 		Left: p.opts.Settings.Classes[0].Deadline})...)
 }
 
-// ended tells a relay how an attempt ended.
+// attemptEnded counts the outcome of an attempt and passes it to the relay's policy.
 func (p *dataPath) attemptEnded(relay int, now decide.Time, msg *pathMessage, outcome decide.Event) {
 	msg.inFlightAttempt = -1
 	if outcome.Outcome == decide.Delivered {
@@ -168,6 +178,7 @@
 	}
 }
 
+// step passes events to a relay's policy and performs the actions that it returns.
 func (p *dataPath) step(relay int, now decide.Time, events ...decide.Event) {
 	r := p.relays[relay]
 	r.actions = r.policy.Step(now, events, r.actions[:0])
@@ -196,13 +207,16 @@
 			}
 		case decide.ActCancel:
 			if msg != nil && msg.inFlightAttempt == action.Attempt {
-				p.queue.Add(int64(now+1), pathEvent{relay: relay, message: action.Message, outcome: decide.Event{Kind: decide.EvOutcome,
-					Message: action.Message, Attempt: action.Attempt, Outcome: decide.Cancelled, Took: 1}})
+				p.queue.Add(int64(now+1), pathEvent{relay: relay, message: action.Message,
+					outcome: decide.Event{Kind: decide.EvOutcome, Message: action.Message, Attempt: action.Attempt,
+						Outcome: decide.Cancelled, Took: 1}})
 			}
 		case decide.ActTimer:
-			// Those of one millisecond come together: a step that a timer brings asks for another one a tick later as
-			// long as something is due within it, so that stray ones never die out.
-			if at := (now + max(action.After, 1) + timerResolution - 1) / timerResolution * timerResolution; !r.pendingTimers[at] {
+			// Timers are rounded up to a millisecond and those of the same millisecond are merged. A step on a timer
+			// sets another one a tick later while something is due within the tick, so that without merging each
+			// extra timer would be renewed without end.
+			if at := (now + max(action.After, 1) + timerResolution - 1) /
+				timerResolution * timerResolution; !r.pendingTimers[at] {
 				r.pendingTimers[at] = true
 				p.queue.Add(int64(at), pathEvent{relay: relay, timer: true})
 			}
@@ -210,19 +224,20 @@
 	}
 }
 
-// send makes a call: the partner's answer comes after the way there and back.
+// send makes a call. Its outcome follows after a random round trip, or when the call times out.
 func (p *dataPath) send(relay int, now decide.Time, action *decide.Action, msg *pathMessage) {
 	if msg == nil {
 		return
 	}
-	msg.inFlightAttempt = msg.attempts // a send names no attempt: it is the message's next
+	msg.inFlightAttempt = msg.attempts // ActSend has no attempt number: it is the message's next attempt
 	msg.attempts++
 	p.counts.Calls++
 	if down, _ := p.opts.Outages.At(msg.dest, modelTime(now)); down {
 		p.counts.CallsToDown++
 	}
 	took := decide.Time(float64(p.opts.MeanRoundTrip.Microseconds())*(0.5+p.rng.ExpFloat64()/2)) + 1
-	outcome := decide.Event{Kind: decide.EvOutcome, Message: action.Message, Attempt: msg.inFlightAttempt, Endpoint: action.Endpoint}
+	outcome := decide.Event{Kind: decide.EvOutcome, Message: action.Message, Attempt: msg.inFlightAttempt,
+		Endpoint: action.Endpoint}
 	reply, wait := p.opts.Partners.Call(msg.dest, modelTime(now))
 	switch reply {
 	case partner.Served:
--- a/internal/rig/report/fit.go
+++ b/internal/rig/report/fit.go
@@ -1,18 +1,18 @@
-// Package report makes slopes of results: tables, and plots.
+// Package report fits lines to the results of experiments, and writes the slopes as a table and as plots.
 package report
 
 import "math"
 
-// Fit is a straight line through measured points, by least squares.
+// Fit is a straight line fitted to measured points by least squares.
 type Fit struct {
 	Intercept, Slope float64
-	InterceptError   float64 // standard errors; NaN with fewer than three points
-	SlopeError       float64
-	R2               float64 // share of the variance that the line explains
+	InterceptError   float64 // standard error of Intercept; NaN with fewer than three points
+	SlopeError       float64 // standard error of Slope; NaN with fewer than three points
+	R2               float64 // coefficient of determination: the share of the variance that the line explains
 	Points           int
 }
 
-// FitLine fits y = Intercept + Slope*x.
+// FitLine fits y = Intercept + Slope*x. If all x are equal, the slope is NaN and the intercept is the mean of y.
 func FitLine(x, y []float64) Fit {
 	n := float64(len(x))
 	fit := Fit{Points: len(x), SlopeError: math.NaN(), InterceptError: math.NaN()}
@@ -49,5 +49,5 @@
 	return fit
 }
 
-// At is the line's value.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
--- a/internal/rig/report/report.go
+++ b/internal/rig/report/report.go
@@ -17,18 +17,18 @@
 	"troutusher/internal/rig/experiment"
 )
 
-// Series is one figure of all runs of one experiment at one commit.
+// Series holds the values of one figure from all runs of one experiment at one commit.
 type Series struct {
 	Name, Commit, Unit, Figure string
 	X, Y                       []float64
 	Goal                       float64
-	Partial                    bool // a run of it failed
+	Partial                    bool // at least one of the runs failed
 }
 
-// Largest is the largest size that was run.
+// Largest returns the largest measured size.
 func (s *Series) Largest() float64 { return slices.Max(s.X) }
 
-// Collect sorts results into series: by experiment, commit and figure.
+// Collect groups results into series by experiment, commit and figure, and sorts them by experiment and commit.
 func Collect(results []*experiment.Result) []*Series {
 	byKey := map[[3]string]*Series{}
 	var keys [][3]string
@@ -57,11 +57,11 @@
 	return collected
 }
 
-// Table writes a line for each series: the fit with its standard errors, what was measured at the largest size
-// that was run, and what the line says for the goal. That is marked as worked out where the goal was not run.
+// Table writes a line for each series: the fit with its standard errors, the mean of the values measured at the
+// largest size, and the value of the fit at the goal, marked as extrapolated, if the goal is above the largest size.
 func Table(w io.Writer, series []*Series) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "experiment\tcommit\tfigure\tslope\t± error\tat none\t± error\tR²\tsizes\tlargest run\tmeasured there\tgoal\tat the goal\t")
+	fmt.Fprintln(table, "experiment\tcommit\tfigure\tslope\t± error\tintercept\t± error\tR²\tsizes\tlargest size\tmeasured there\tgoal\tat the goal\t")
 	for _, s := range series {
 		fit := FitLine(s.X, s.Y)
 		sum, count := 0.0, 0.0
@@ -84,13 +84,16 @@
 		case s.Goal > 0:
 			goal, atGoal = formatNumber(s.Goal), "run"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s per %s\t%s\t%s\t%s\t%s\t%.3f\t%d\t%s\t%s\t%s\t%s\t\n", name, s.Commit, s.Figure, s.Unit, formatNumber(fit.Slope),
-			formatNumber(fit.SlopeError), formatNumber(fit.Intercept), formatNumber(fit.InterceptError), fit.R2, len(sizes), formatNumber(s.Largest()), formatNumber(sum/count), goal, atGoal)
+		fmt.Fprintf(table, "%s\t%s\t%s per %s\t%s\t%s\t%s\t%s\t%.3f\t%d\t%s\t%s\t%s\t%s\t\n",
+			name, s.Commit, s.Figure, s.Unit, formatNumber(fit.Slope), formatNumber(fit.SlopeError),
+			formatNumber(fit.Intercept), formatNumber(fit.InterceptError), fit.R2, len(sizes),
+			formatNumber(s.Largest()), formatNumber(sum/count), goal, atGoal)
 	}
 	return table.Flush()
 }
 
-// num writes a number with four digits that count.
+// formatNumber formats a number with four significant digits, and whole numbers and those from 1000 on without
+// decimals.
 func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
@@ -101,7 +104,7 @@
 	return fmt.Sprintf("%.4g", v)
 }
 
-// Plot draws a series with its line, up to the goal, as PNG or SVG by the format's name, and tells the path.
+// Plot draws a series and its fit up to the goal into a file in dir, and returns the path. The format is png or svg.
 func Plot(series *Series, dir, format string) (string, error) {
 	canvas := plot.New()
 	canvas.Title.Text = series.Name + " at " + series.Commit
@@ -125,7 +128,8 @@
 			if segment.to <= segment.from {
 				continue
 			}
-			line, err := plotter.NewLine(plotter.XYs{{X: segment.from, Y: fit.At(segment.from)}, {X: segment.to, Y: fit.At(segment.to)}})
+			line, err := plotter.NewLine(plotter.XYs{{X: segment.from, Y: fit.At(segment.from)},
+				{X: segment.to, Y: fit.At(segment.to)}})
 			if err != nil {
 				return "", fmt.Errorf("%s: %w", series.Figure, err)
 			}
