--- a/internal/rig/experiment/result.go
+++ b/internal/rig/experiment/result.go
@@ -16,7 +16,7 @@
 // Point holds the figures of one repetition of one size. The name of a figure ends in its unit.
 type Point struct {
 	Size    int                `json:"size"`
-	Turn    int                `json:"turn"`
+	Turn    int                `json:"turn"` // number of the repetition, from 0
 	Figures map[string]float64 `json:"figures"`
 }
 
@@ -59,6 +59,7 @@
 	return result
 }
 
+// add appends the figures of one repetition of one size.
 func (r *Result) add(size, turn int, figures map[string]float64) {
 	r.Points = append(r.Points, Point{size, turn, figures})
 }
