--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -9,45 +9,59 @@
 	"testing"
 )
 
-// coldDay is one destination that is out for a while and comes back cold, among relays that share nothing.
-type coldDay struct {
-	relays    int
-	rate      float64 // calls a second that it takes when warm
-	restarted float64 // share of the relays that are started anew as it comes back
-	memory    bool    // and are told what the process before remembered
-	unseen    float64 // share of the relays that had no message for it during the outage
-	batch     int
-	repeat    Idempotency
-	waiting   float64 // messages that come during the outage beyond the usual, to what it would have taken meanwhile
-	load      float64 // calls that messages come for, to what it takes when warm; 0 for coldLoad
-	restarts  []Time  // moments inside the outage at which restarted of the relays, drawn anew, are started anew
-	settings  coldTerms
+// coldScenario is an outage of one destination, whose capacity then ramps up from a small share, and relays that
+// share no state.
+type coldScenario struct {
+	relays          int
+	rate            float64 // calls a second that the destination accepts at full capacity
+	restartedShare  float64 // share of the relays that restart when the outage ends, or at each of restartTimes
+	restoresOutages bool    // a restarted relay restores the outages that its predecessor process saw
+	unawareShare    float64 // share of the relays that have no message for the destination during the outage
+	maxBatch        int
+	idempotency     Idempotency
+	// extraOutageLoad is added to load during the outage.
+	extraOutageLoad float64
+	// load is the rate of the calls that the messages need, as a share of rate; 0 for coldLoad.
+	load float64
+	// restartTimes are times since the start of the outage. At each of them restartedShare of the relays, drawn anew,
+	// restart.
+	restartTimes []Time
+	// slowStart overrides the default slow-start settings unless it is zero.
+	slowStart slowStartSettings
 }
 
-// coldTerms are the settings that bind a cold destination.
-type coldTerms struct {
-	start  float64
-	ramp   Time
-	fall   Time
-	factor float64
+// slowStartSettings are the settings that describe a destination after an outage.
+type slowStartSettings struct {
+	startCapacity  float64
+	rampTime       Time
+	overloadTime   Time
+	overloadFactor float64
 }
 
-// coldCall is a call that reached the destination once it was back.
+// coldCall is a call that reached the destination after the outage.
 type coldCall struct {
-	at   Time
-	told bool // by a relay that had made a call in the outage, in this process or the one before it
-	knew bool // by one to which such a call was reported as failed in the outage
+	at Time
+	// calledInOutage says that the relay had made a call during the outage, in this process or in a predecessor.
+	calledInOutage bool
+	// sawFailure says that the relay had learned of the failure of such a call before the outage ended.
+	sawFailure bool
 }
 
-// coldCount is what the windows of one fall time each held. All but overKnew and broken count the calls of
-// told relays.
-type coldCount struct {
-	windows    int
-	overTight  int // windows over the budget as they end, with the smaller part for chance at any budget
-	overEnd    int // windows over the budget as they end
-	overBegin  int // windows over the budget as they begin
-	overKnew   int // the same of the calls of relays that knew
-	broken     int // windows over the budget as they begin by all calls, over two thirds of them by relays that knew
+// windowCounts counts time windows of the length of the overload time, and those with more calls than allowed. All
+// fields but overSawFailure and repeatedFailures count only the calls of relays with calledInOutage.
+type windowCounts struct {
+	windows int
+	// overTight counts windows over maxColdCallsTight of the budget at their end.
+	overTight int
+	// overEnd counts windows over maxColdCalls of the budget at their end.
+	overEnd int
+	// overBegin counts windows over maxColdCalls of the budget at their beginning.
+	overBegin int
+	// overSawFailure is overBegin for the calls of relays with sawFailure alone.
+	overSawFailure int
+	// repeatedFailures is overBegin for all calls, where more than two thirds of them are of relays with sawFailure.
+	repeatedFailures int
+	// worstTight, worstEnd and worstBegin are the highest ratios of the calls in a window to these limits.
 	worstTight float64
 	worstEnd   float64
 	worstBegin float64
@@ -55,13 +69,14 @@
 	delivered  int
 }
 
-func (c *coldCount) add(o coldCount) {
+// add adds the counts of another run.
+func (c *windowCounts) add(o windowCounts) {
 	c.windows += o.windows
 	c.overTight += o.overTight
 	c.overEnd += o.overEnd
 	c.overBegin += o.overBegin
-	c.overKnew += o.overKnew
-	c.broken += o.broken
+	c.overSawFailure += o.overSawFailure
+	c.repeatedFailures += o.repeatedFailures
 	c.worstTight = max(c.worstTight, o.worstTight)
 	c.worstEnd = max(c.worstEnd, o.worstEnd)
 	c.worstBegin = max(c.worstBegin, o.worstBegin)
@@ -69,254 +84,273 @@
 	c.delivered += o.delivered
 }
 
-func (c *coldCount) served() float64 { return float64(c.delivered) / float64(max(c.messages, 1)) }
+// deliveredShare returns the share of the messages that were delivered.
+func (c *windowCounts) deliveredShare() float64 {
+	return float64(c.delivered) / float64(max(c.messages, 1))
+}
 
-func (c *coldCount) share(n int) float64 { return float64(n) / float64(max(c.windows, 1)) }
+// windowShare returns the share of the windows that n of them are.
+func (c *windowCounts) windowShare(n int) float64 { return float64(n) / float64(max(c.windows, 1)) }
 
-// coldBound is how many calls a cold destination stands in a fall time in which the settings allow n.
-func coldBound(n float64) float64 {
+// maxColdCalls returns how many calls a recovering destination withstands in an overload time for which the settings
+// allow n. What it adds to n allows for chance; it is larger for a budget below 30.
+func maxColdCalls(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
-	return coldTightBound(n)
+	return maxColdCallsTight(n)
 }
 
-// coldTightBound is the bound with the smaller part for chance, which a budget of 30 and more has.
-func coldTightBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// maxColdCallsTight is the same with the smaller allowance for chance, that of a budget of 30 and more.
+func maxColdCallsTight(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// terms gives the day's own settings of a cold destination, or the usual ones.
-func (d coldDay) terms() coldTerms {
-	if d.settings == (coldTerms{}) {
-		return coldTerms{start: coldStart, ramp: coldRamp, fall: coldFall, factor: 2}
+// slowStartOrDefault returns the slow-start settings of the scenario, or the default ones.
+func (d coldScenario) slowStartOrDefault() slowStartSettings {
+	if d.slowStart == (slowStartSettings{}) {
+		return slowStartSettings{startCapacity: coldStartCapacity, rampTime: coldRampTime,
+			overloadTime: coldOverloadTime, overloadFactor: 2}
 	}
-	return d.settings
+	return d.slowStart
 }
 
-// budget is how many calls the settings allow in a fall time at a moment after the return.
-func (d coldDay) budget(since Time) float64 {
-	x := d.terms()
-	share := min(1, x.start+(1-x.start)*float64(max(since, 0))/float64(x.ramp))
-	return x.factor * share * d.rate * float64(x.fall) / float64(second)
+// allowedCalls returns how many calls the settings allow in an overload time, at a time since the outage ended.
+func (d coldScenario) allowedCalls(since Time) float64 {
+	settings := d.slowStartOrDefault()
+	share := min(1, settings.startCapacity+
+		(1-settings.startCapacity)*float64(max(since, 0))/float64(settings.rampTime))
+	return settings.overloadFactor * share * d.rate * float64(settings.overloadTime) / float64(second)
 }
 
-// judge counts the window that ends now.
-func (c *coldCount) judge(d coldDay, since Time, calls []coldCall) {
-	told, knew := 0, 0
+// addWindow counts the window that ends at the given time since the outage ended; calls are those made in it.
+func (c *windowCounts) addWindow(d coldScenario, since Time, calls []coldCall) {
+	calledInOutage, sawFailure := 0, 0
 	for _, x := range calls {
-		if x.told {
-			told++
+		if x.calledInOutage {
+			calledInOutage++
 		}
-		if x.knew {
-			knew++
+		if x.sawFailure {
+			sawFailure++
 		}
 	}
-	atEnd, atBegin := coldBound(d.budget(since)), coldBound(d.budget(since-d.terms().fall))
-	tight := coldTightBound(d.budget(since))
+	atEnd, atBegin := maxColdCalls(d.allowedCalls(since)),
+		maxColdCalls(d.allowedCalls(since-d.slowStartOrDefault().overloadTime))
+	tight := maxColdCallsTight(d.allowedCalls(since))
 	c.windows++
-	c.worstTight = max(c.worstTight, float64(told)/tight)
-	c.worstEnd = max(c.worstEnd, float64(told)/atEnd)
-	c.worstBegin = max(c.worstBegin, float64(told)/atBegin)
-	if float64(told) > tight {
+	c.worstTight = max(c.worstTight, float64(calledInOutage)/tight)
+	c.worstEnd = max(c.worstEnd, float64(calledInOutage)/atEnd)
+	c.worstBegin = max(c.worstBegin, float64(calledInOutage)/atBegin)
+	if float64(calledInOutage) > tight {
 		c.overTight++
 	}
-	if float64(told) > atEnd {
+	if float64(calledInOutage) > atEnd {
 		c.overEnd++
 	}
-	if float64(told) > atBegin {
+	if float64(calledInOutage) > atBegin {
 		c.overBegin++
 	}
-	if float64(knew) > atBegin {
-		c.overKnew++
+	if float64(sawFailure) > atBegin {
+		c.overSawFailure++
 	}
-	if float64(len(calls)) > atBegin && 3*knew > 2*len(calls) {
-		c.broken++
+	if float64(len(calls)) > atBegin && 3*sawFailure > 2*len(calls) {
+		c.repeatedFailures++
 	}
 }
 
 const (
-	coldTick  = second / 100
-	coldOut   = 10 * second // how long it is out
-	coldStart = 0.19
-	coldRamp  = 12 * second
-	coldFall  = 2 * second
-	coldLoad  = 0.75
+	coldTick          = second / 100
+	coldOutageTime    = 10 * second
+	coldStartCapacity = 0.19
+	coldRampTime      = 12 * second
+	coldOverloadTime  = 2 * second
+	coldLoad          = 0.75
 )
 
-func coldSettings(d coldDay) Settings {
-	s := one()
+// coldPolicySettings returns the settings of the policies in a scenario.
+func coldPolicySettings(d coldScenario) Settings {
+	s := defaultSettings()
 	s.Relays, s.MaxHeld, s.Slots = d.relays, 1000, 60
-	x := d.terms()
-	s.StartCapacity, s.RampTime, s.OverloadTime, s.OverloadFactor = x.start, x.ramp, x.fall, x.factor
-	s.Kinds = []DestKind{{MaxBatch: max(d.batch, 1)}}
+	slowStart := d.slowStartOrDefault()
+	s.StartCapacity, s.RampTime, s.OverloadTime, s.OverloadFactor = slowStart.startCapacity,
+		slowStart.rampTime, slowStart.overloadTime, slowStart.overloadFactor
+	s.Kinds = []DestKind{{MaxBatch: max(d.maxBatch, 1)}}
 	s.ParallelAttempts = true
-	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = d.repeat, 10*second
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = d.idempotency, 10*second
 	return s
 }
 
-// play counts, at each moment of the ramp, the calls of the last fall time against what the settings allow and
-// chance adds. A call is answered after 90 ms, or not at all while the destination is out.
-func (d coldDay) play(t testing.TB, seed uint64) coldCount {
+// run runs the scenario. At each step of the ramp it compares the calls of the last overload time with what the
+// settings allow and the allowance for chance. A call is delivered after 90 ms, or fails during the outage.
+func (d coldScenario) run(t testing.TB, seed uint64) windowCounts {
 	t.Helper()
 	type relay struct {
-		p      *Policy
-		events []Event
-		next   uint32
-		tries  map[uint32]int
-		wake   Time
-		blind  bool
-		told   bool // it, or the process before it, made a call in the outage
-		knew   bool // and one of those was reported as failed in the outage
+		policy         *Policy
+		events         []Event
+		nextMessage    uint32
+		attempts       map[uint32]int
+		wakeAt         Time
+		unaware        bool
+		calledInOutage bool // as in coldCall
+		sawFailure     bool // as in coldCall
 	}
-	s := coldSettings(d)
+	s := coldPolicySettings(d)
 	rng := rand.New(rand.NewPCG(11, seed))
-	all := make([]*relay, d.relays)
-	start := func(i int, began uint64) *relay {
-		p, err := New(s, seed*1000003+uint64(i)*7+began)
+	relays := make([]*relay, d.relays)
+	startRelay := func(i int, restartNumber uint64) *relay {
+		p, err := New(s, seed*1000003+uint64(i)*7+restartNumber)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &relay{p: p, next: uint32(began)*10000 + 1, tries: map[uint32]int{},
-			events: []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, d.rate)}}}}
+		return &relay{policy: p, nextMessage: uint32(restartNumber)*10000 + 1, attempts: map[uint32]int{},
+			events: []Event{{Kind: EvList, List: ListCached, Entries: []Entry{readyEntry(1, d.rate)}}}}
 	}
-	for i := range all {
-		all[i] = start(i, 0)
-		all[i].blind = float64(i) < d.unseen*float64(d.relays)
+	for i := range relays {
+		relays[i] = startRelay(i, 0)
+		relays[i].unaware = float64(i) < d.unawareShare*float64(d.relays)
 	}
 	type reply struct {
-		r *relay
-		e Event
+		relay *relay
+		event Event
 	}
 	due := map[int][]reply{}
-	lives := uint64(0)
-	out, back := 1005*second, 1005*second+coldOut
-	var calls []coldCall // from the return on
-	first := 0
-	var count coldCount
-	x := d.terms()
+	restartCount := uint64(0)
+	outageStart, outageEnd := 1005*second, 1005*second+coldOutageTime
+	var calls []coldCall // since the outage ended
+	windowStart := 0
+	var counts windowCounts
+	slowStart := d.slowStartOrDefault()
 	for step := 0; ; step++ {
 		now := 1000*second + Time(step)*coldTick
-		if now > back+x.ramp {
+		if now > outageEnd+slowStart.rampTime {
 			break
 		}
-		if now == back && len(d.restarts) == 0 || slices.Contains(d.restarts, now-out) {
-			for i := range all {
-				if rng.Float64() >= d.restarted {
+		if now == outageEnd && len(d.restartTimes) == 0 || slices.Contains(d.restartTimes, now-outageStart) {
+			for i := range relays {
+				if rng.Float64() >= d.restartedShare {
 					continue
 				}
-				old := all[i]
-				lives++
-				all[i] = start(i, lives)
-				all[i].blind, all[i].told, all[i].knew = old.blind, old.told, old.knew
-				if d.memory {
-					m := &Snapshot{}
-					for id := range old.p.endpoints {
-						if o, ok := old.p.Outage(id); ok {
-							m.Outages = append(m.Outages, o)
+				old := relays[i]
+				restartCount++
+				relays[i] = startRelay(i, restartCount)
+				relays[i].unaware, relays[i].calledInOutage, relays[i].sawFailure = old.unaware, old.calledInOutage,
+					old.sawFailure
+				if d.restoresOutages {
+					snapshot := &Snapshot{}
+					for endpoint := range old.policy.endpoints {
+						if outage, ok := old.policy.Outage(endpoint); ok {
+							snapshot.Outages = append(snapshot.Outages, outage)
 						}
 					}
-					all[i].events = append(all[i].events, Event{Kind: EvSnapshot, Snapshot: m})
+					relays[i].events = append(relays[i].events, Event{Kind: EvSnapshot, Snapshot: snapshot})
 				}
-				for _, m := range old.p.unfinished { // what it held is taken up again
-					n := all[i].next
-					all[i].next++
-					e := Event{Kind: EvMessage, Message: n, TimeLeft: m.deadline - now, Attempts: m.attempts, MayHaveRunAt: m.mayHaveRunAt,
-						OriginalClass: &s.Classes[0], OriginalMaxAttempts: s.MaxAttempts}
-					all[i].tries[n] = m.attempts
-					all[i].events = append(all[i].events, e)
+				// The new process resumes the messages that the old one held.
+				for _, m := range old.policy.unfinished {
+					id := relays[i].nextMessage
+					relays[i].nextMessage++
+					e := Event{Kind: EvMessage, Message: id, TimeLeft: m.deadline - now, Attempts: m.attempts,
+						MayHaveRunAt: m.mayHaveRunAt, OriginalClass: &s.Classes[0], OriginalMaxAttempts: s.MaxAttempts}
+					relays[i].attempts[id] = m.attempts
+					relays[i].events = append(relays[i].events, e)
 				}
 			}
 		}
 		load := cmp.Or(d.load, coldLoad)
-		if now >= out && now < back {
-			load += d.waiting
+		if now >= outageStart && now < outageEnd {
+			load += d.extraOutageLoad
 		}
-		for n := load * d.rate * float64(max(d.batch, 1)) * float64(coldTick) / float64(second); n > 0; n-- {
+		for n := load * d.rate * float64(max(d.maxBatch, 1)) * float64(coldTick) / float64(second); n > 0; n-- {
 			if rng.Float64() < n {
-				r := all[rng.IntN(len(all))]
-				if r.blind && now > out-second && now < back {
+				r := relays[rng.IntN(len(relays))]
+				if r.unaware && now > outageStart-second && now < outageEnd {
 					continue
 				}
-				count.messages++
-				r.events = append(r.events, Event{Kind: EvMessage, Message: r.next, TimeLeft: 12 * second})
-				r.next++
+				counts.messages++
+				r.events = append(r.events, Event{Kind: EvMessage, Message: r.nextMessage, TimeLeft: 12 * second})
+				r.nextMessage++
 			}
 		}
-		for _, x := range due[step] {
-			x.r.events = append(x.r.events, x.e)
-			x.r.knew = x.r.knew || x.e.Outcome != Delivered && now < back
+		for _, arrived := range due[step] {
+			arrived.relay.events = append(arrived.relay.events, arrived.event)
+			arrived.relay.sawFailure = arrived.relay.sawFailure || arrived.event.Outcome != Delivered &&
+				now < outageEnd
 		}
 		delete(due, step)
-		for _, r := range all {
-			if len(r.events) == 0 && (r.wake == 0 || r.wake > now) {
+		for _, r := range relays {
+			if len(r.events) == 0 && (r.wakeAt == 0 || r.wakeAt > now) {
 				continue
 			}
-			if r.wake > 0 && r.wake <= now {
-				r.wake = 0
+			if r.wakeAt > 0 && r.wakeAt <= now {
+				r.wakeAt = 0
 			}
-			acts := r.p.Step(now, append(r.events, Event{Kind: EvTimer}), nil)
+			actions := r.policy.Step(now, append(r.events, Event{Kind: EvTimer}), nil)
 			r.events = nil
 			called := false
-			for _, a := range acts {
+			for _, a := range actions {
 				switch a.Kind {
 				case ActTimer:
-					if at := now + a.After; r.wake == 0 || at < r.wake {
-						r.wake = at
+					if at := now + a.After; r.wakeAt == 0 || at < r.wakeAt {
+						r.wakeAt = at
 					}
 				case ActSend:
-					e := answer(a, Delivered)
-					e.Attempt, e.Duration = r.tries[a.Message], 90000
-					r.tries[a.Message]++
-					if now >= out && now < back {
+					e := outcomeEvent(a, Delivered)
+					e.Attempt, e.Duration = r.attempts[a.Message], 90000
+					r.attempts[a.Message]++
+					if now >= outageStart && now < outageEnd {
 						e.Outcome, e.Final, e.Duration = ConnectFailed, false, 0
-						if a.Message%2 == 0 { // some hang, some are refused
+						if a.Message%2 == 0 { // half of the calls time out, half cannot connect
 							e.Outcome, e.Duration = TimedOut, a.TimeoutAt-now
 						}
 					}
 					if e.Final {
-						count.delivered++
+						counts.delivered++
 					}
-					late := step + int(max(e.Duration, coldTick)/coldTick)
-					due[late] = append(due[late], reply{r, e})
-					if r.told = r.told || e.Outcome != Delivered; now >= back && !called { // the messages of one call
-						calls = append(calls, coldCall{at: now, told: r.told, knew: r.knew})
-						called = d.batch > 1
+					repliedAtStep := step + int(max(e.Duration, coldTick)/coldTick)
+					due[repliedAtStep] = append(due[repliedAtStep], reply{r, e})
+					// The messages of a call count once.
+					if r.calledInOutage = r.calledInOutage || e.Outcome != Delivered; now >= outageEnd && !called {
+						calls = append(calls, coldCall{at: now, calledInOutage: r.calledInOutage,
+							sawFailure: r.sawFailure})
+						called = d.maxBatch > 1
 					}
 				}
 			}
 		}
-		if now >= back {
-			for first < len(calls) && calls[first].at <= now-x.fall {
-				first++
+		if now >= outageEnd {
+			for windowStart < len(calls) && calls[windowStart].at <= now-slowStart.overloadTime {
+				windowStart++
 			}
-			count.judge(d, now-back, calls[first:])
+			counts.addWindow(d, now-outageEnd, calls[windowStart:])
 		}
 	}
-	return count
+	return counts
 }
 
-// A destination that was out comes back cold to many relays that share nothing. Whether they saw the outage in
-// this process or the one before it, whatever waits and however it travels: those that were told of it keep to
-// what the settings allow and chance adds. Nothing is told of it to those that saw nothing.
+// TestColdFleet checks that relays which share no state do not make a destination fail again after an outage. Those
+// that called it during the outage, in this process or in a predecessor, keep to what the settings allow and the
+// allowance for chance, however many messages wait and in whatever batches they are sent. Relays that made no call
+// during the outage cannot know of it, and their calls are not counted.
 func TestColdFleet(t *testing.T) {
 	const seeds = 4
-	for name, day := range map[string]coldDay{"all knew": {}, "half unseen": {unseen: 0.5},
-		"half restarted": {restarted: 0.5, memory: true}, "all restarted": {restarted: 1, memory: true},
-		"messages waiting": {waiting: 1}, "batches": {batch: 8}, "batches, half restarted": {batch: 8, restarted: 0.5, memory: true},
-		"batches waiting": {batch: 8, waiting: 1}, "keyed": {repeat: Deduplicated}} {
+	for name, scenario := range map[string]coldScenario{"all aware": {}, "half unaware": {unawareShare: 0.5},
+		"half restarted":   {restartedShare: 0.5, restoresOutages: true},
+		"all restarted":    {restartedShare: 1, restoresOutages: true},
+		"messages waiting": {extraOutageLoad: 1}, "batches": {maxBatch: 8},
+		"batches, half restarted": {maxBatch: 8, restartedShare: 0.5, restoresOutages: true},
+		"batches waiting":         {maxBatch: 8, extraOutageLoad: 1}, "deduplicated": {idempotency: Deduplicated}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, relays := range []int{3, 20, 30, 300} {
 				for _, rate := range []float64{6, 20, 60} {
-					d := day
+					d := scenario
 					d.relays, d.rate = relays, rate
-					var sum coldCount
+					var sum windowCounts
 					for seed := range uint64(seeds) {
-						sum.add(d.play(t, seed))
+						sum.add(d.run(t, seed))
 					}
-					line := fmt.Sprintf("%d relays, %v calls a second: %d of %d fall times over the bound, the worst %.2f of it, served %.2f",
-						relays, rate, sum.overTight, sum.windows, sum.worstTight, sum.served())
+					line := fmt.Sprintf(
+						"%d relays, %v calls a second: %d of %d windows over the limit, highest %.2f, delivered %.2f",
+						relays, rate, sum.overTight, sum.windows, sum.worstTight, sum.deliveredShare())
 					t.Log(line)
-					if sum.overTight > 0 || sum.served() < 0.05 {
+					if sum.overTight > 0 || sum.deliveredShare() < 0.05 {
 						t.Error(line)
 					}
 				}
@@ -325,12 +359,14 @@
 	}
 }
 
-// coldSteep are settings with a long fall time beside a short ramp: what they allow as a window begins is far
-// less than as it ends.
-var coldSteep = coldTerms{start: 0.1, ramp: 8 * second, fall: 3 * second, factor: 1.5}
+// steepRamp are settings with an overload time that is long in comparison with the ramp: they allow far fewer calls at
+// the beginning of a window than at its end.
+var steepRamp = slowStartSettings{startCapacity: 0.1, rampTime: 8 * second, overloadTime: 3 * second,
+	overloadFactor: 1.5}
 
-// coldSizes are fleets from one relay to the most there may be, with rates at which a window may go over.
-var coldSizes = []struct {
+// coldFleetSizes are fleets from one relay to nearly the most that a deployment may have, with rates at which windows
+// may exceed the budget.
+var coldFleetSizes = []struct {
 	relays int
 	rates  []float64
 	seeds  uint64
@@ -343,79 +379,84 @@
 	{900, []float64{180}, 1},
 }
 
-// coldDays are days on which more comes than a cold destination takes.
-func coldDays() map[string]coldDay {
+// overloadedScenarios are scenarios with more messages than the destination accepts.
+func overloadedScenarios() map[string]coldScenario {
 	restarts := []Time{4 * second, 8 * second}
-	return map[string]coldDay{
-		"no restart":           {load: 1.5},
-		"no restart, batches":  {load: 1.5, batch: 8},
-		"restarted":            {load: 1.5, restarted: 0.5, memory: true, restarts: restarts},
-		"restarted in batches": {load: 1.5, restarted: 0.5, memory: true, restarts: restarts, batch: 8},
+	return map[string]coldScenario{
+		"no restart":          {load: 1.5},
+		"no restart, batches": {load: 1.5, maxBatch: 8},
+		"restarted":           {load: 1.5, restartedShare: 0.5, restoresOutages: true, restartTimes: restarts},
+		"restarted in batches": {load: 1.5, restartedShare: 0.5, restoresOutages: true, restartTimes: restarts,
+			maxBatch: 8},
 	}
 }
 
-// BenchmarkColdFleet reports, for each fleet size, the share of windows over the budget, counted as they begin and
-// as they end, the largest window as a part of that bound, and the share of all messages that was served.
+// BenchmarkColdFleet reports for each fleet size the share of windows over the limit, for the budget at their
+// beginning and at their end, the highest ratio of a window to that limit, and the share of the messages that were
+// delivered.
 func BenchmarkColdFleet(b *testing.B) {
-	for _, terms := range []coldTerms{{}, coldSteep} {
-		for name, day := range coldDays() {
-			for _, size := range coldSizes {
-				day.settings, day.relays = terms, size.relays
-				b.Run(fmt.Sprintf("%s/steep=%t/relays=%d", name, terms == coldSteep, size.relays), func(b *testing.B) {
-					var sum coldCount
-					for range b.N {
-						for _, rate := range size.rates {
-							day.rate = rate
-							for seed := range 3 * size.seeds {
-								sum.add(day.play(b, 100+seed))
+	for _, slowStart := range []slowStartSettings{{}, steepRamp} {
+		for name, scenario := range overloadedScenarios() {
+			for _, size := range coldFleetSizes {
+				scenario.slowStart, scenario.relays = slowStart, size.relays
+				b.Run(fmt.Sprintf("%s/steep=%t/relays=%d", name, slowStart == steepRamp, size.relays),
+					func(b *testing.B) {
+						var sum windowCounts
+						for range b.N {
+							for _, rate := range size.rates {
+								scenario.rate = rate
+								for seed := range 3 * size.seeds {
+									sum.add(scenario.run(b, 100+seed))
+								}
 							}
 						}
-					}
-					b.ReportMetric(sum.share(sum.overBegin), "over-begin")
-					b.ReportMetric(sum.worstBegin, "worst-begin")
-					b.ReportMetric(sum.share(sum.overEnd), "over-end")
-					b.ReportMetric(sum.worstEnd, "worst-end")
-					b.ReportMetric(sum.share(sum.broken), "broken")
-					b.ReportMetric(sum.served(), "served")
-					b.ReportMetric(0, "ns/op")
-				})
+						b.ReportMetric(sum.windowShare(sum.overBegin), "over-begin")
+						b.ReportMetric(sum.worstBegin, "worst-begin")
+						b.ReportMetric(sum.windowShare(sum.overEnd), "over-end")
+						b.ReportMetric(sum.worstEnd, "worst-end")
+						b.ReportMetric(sum.windowShare(sum.repeatedFailures), "broken")
+						b.ReportMetric(sum.deliveredShare(), "served")
+						b.ReportMetric(0, "ns/op")
+					})
 			}
 		}
 	}
 }
 
-// However many relays share nothing, and whether or not they are restarted inside the outage: the calls of those that
-// knew of it keep to what the settings allow as a window begins. Where relays see little each, when they call is
-// drawn, and a call of an earlier process may have ended with it: with the calls of those relays, one window in a
-// hundred may be over.
+// TestColdFleetAsWindowsBegin checks that the calls of relays that saw a failure in the outage keep to what the
+// settings allow at the beginning of a window, however many relays there are and whether or not they restart during
+// the outage. In fleets of more than 30 relays, each of which sees few calls, the times of calls are random, and a
+// call of a predecessor process may have ended with that process, without an outcome. There, one window in a hundred
+// may exceed the limit when the calls of all relays that called in the outage are counted.
 func TestColdFleetAsWindowsBegin(t *testing.T) {
-	const byChance = 0.01
-	for name, day := range coldDays() {
+	const maxShareByChance = 0.01
+	for name, scenario := range overloadedScenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, size := range coldSizes {
-				d := day
-				d.settings, d.relays = coldSteep, size.relays
+			for _, size := range coldFleetSizes {
+				d := scenario
+				d.slowStart, d.relays = steepRamp, size.relays
 				rates := size.rates
-				if d.batch > 1 { // messages by the batch take long to play
+				if d.maxBatch > 1 { // scenarios with batches take long to run
 					rates = rates[len(rates)-1:]
 				}
-				var sum coldCount
+				var sum windowCounts
 				for _, d.rate = range rates {
 					for seed := range size.seeds {
-						sum.add(d.play(t, seed))
+						sum.add(d.run(t, seed))
 					}
 				}
 				allowed := 0.0
 				if d.relays > 30 {
-					allowed = byChance
+					allowed = maxShareByChance
 				}
-				over := sum.share(sum.overBegin)
-				t.Logf("%d relays: %.4f of the windows over the bound, the worst %.2f of it, broken %.4f, served %.2f",
-					d.relays, over, sum.worstBegin, sum.share(sum.broken), sum.served())
-				if over > allowed || sum.overKnew > 0 || sum.overEnd > 0 || sum.served() < 0.1 {
-					t.Errorf("%d relays: %.4f of the windows over the bound as they begin, %d by relays that knew, %d as they end, "+
-						"served %.2f", d.relays, over, sum.overKnew, sum.overEnd, sum.served())
+				overShare := sum.windowShare(sum.overBegin)
+				t.Logf("%d relays: %.4f of windows over the limit, highest %.2f, repeated failures %.4f, served %.2f",
+					d.relays, overShare, sum.worstBegin, sum.windowShare(sum.repeatedFailures), sum.deliveredShare())
+				if overShare > allowed || sum.overSawFailure > 0 || sum.overEnd > 0 || sum.deliveredShare() < 0.1 {
+					t.Errorf("%d relays: %.4f of windows over the limit at the beginning, %d by aware relays, "+
+						"%d at the end, delivered %.2f", d.relays, overShare, sum.overSawFailure, sum.overEnd,
+						sum.deliveredShare())
 				}
 			}
 		})
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,21 +6,22 @@
 	"troutusher/decide"
 )
 
-// A relay asks its policy what to do with a message, and tells it how the call went.
+// The relay passes a new message to the policy, sends it as the policy requests, and reports the outcome.
 func Example() {
 	const second = decide.Time(1e6)
 	p, err := decide.New(decide.Settings{
 		Relays: 2, Slots: 8, MaxAttempts: 6, Tick: 5000, RatesListed: true,
 		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, OverloadTime: 3 * second,
 		Kinds: []decide.DestKind{{MaxBatch: 1}},
-		Classes: []decide.Class{{Name: "order", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3,
+		Classes: []decide.Class{{Name: "order", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1,
+			LateWorth:   0.3,
 			Idempotency: decide.Deduplicated, DedupWindow: 15 * second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	now := 100 * second // the host's own clock, never the module's
+	now := 100 * second // the policy reads no clock of its own
 	actions := p.Step(now, []decide.Event{
 		{Kind: decide.EvList, List: decide.ListFull,
 			Entries: []decide.Entry{{Endpoint: 7, Dest: 1, State: decide.Ready, Rate: 20}}},
@@ -34,8 +35,8 @@
 	now += second / 5
 	actions = p.Step(now, []decide.Event{{Kind: decide.EvOutcome, Message: 1, Attempt: 0, Endpoint: 7,
 		Outcome: decide.Delivered, Final: true, Duration: second / 5}}, actions[:0])
-	fmt.Println("still to do:", len(actions))
+	fmt.Println("remaining actions:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
-	// still to do: 0
+	// remaining actions: 0
 }
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -5,129 +5,134 @@
 	"testing"
 )
 
-// Guards what a new process takes up from an old one: windows, history, waits
-// and outages, as they were, through the form in which they are handed over.
-func TestMemory(t *testing.T) {
-	s := one()
+// TestSnapshot checks that a successor process restores the windows, history, waits and outages of its predecessor
+// unchanged from the JSON form of a snapshot.
+func TestSnapshot(t *testing.T) {
+	s := defaultSettings()
 	s.Kinds = []DestKind{{MaxBatch: 1}, {SeparateLimits: true}}
-	entries := []Entry{ready(7, 50), {Endpoint: 8, Dest: 1, Kind: 1, State: Ready, Rate: 20}, {Endpoint: 9, Dest: 1, Kind: 1, State: Ready, Rate: 20}}
-	old := newRig(t, s, entries...)
+	entries := []Entry{readyEntry(7, 50), {Endpoint: 8, Dest: 1, Kind: 1, State: Ready, Rate: 20},
+		{Endpoint: 9, Dest: 1, Kind: 1, State: Ready, Rate: 20}}
+	predecessor := newPolicyRunner(t, s, entries...)
 	for i := range 60 {
-		old.step(old.message(0, i%2))
-		for len(old.sends) > 0 {
-			a := old.sends[0]
-			o := answer(a, Delivered)
+		predecessor.step(predecessor.messageEvent(0, i%2))
+		for len(predecessor.sends) > 0 {
+			a := predecessor.sends[0]
+			o := outcomeEvent(a, Delivered)
 			if a.Endpoint == 8 {
 				o.Outcome, o.Final = Errored, false
 			} else if i == 40 {
 				o.Outcome, o.Final, o.RetryAfter = Rejected, false, 30*second
 			}
-			o.Attempt = old.p.messages[a.Message].attempts - 1
-			old.step(o)
+			o.Attempt = predecessor.policy.messages[a.Message].attempts - 1
+			predecessor.step(o)
 		}
-		old.now += second / 10
+		predecessor.now += second / 10
 	}
-	if ep := old.p.endpoints[8]; !ep.ejected {
-		t.Fatal("no outage to remember")
+	if ep := predecessor.policy.endpoints[8]; !ep.ejected {
+		t.Fatal("endpoint 8 not ejected, so the snapshot has no outage")
 	}
-	text, err := json.Marshal(old.p.Snapshot())
+	text, err := json.Marshal(predecessor.policy.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &Snapshot{}
-	if err := json.Unmarshal(text, m); err != nil {
+	restored := &Snapshot{}
+	if err := json.Unmarshal(text, restored); err != nil {
 		t.Fatal(err)
 	}
-	next := newRig(t, s, entries...)
-	next.now = old.now
-	next.step(Event{Kind: EvSnapshot, Snapshot: m})
-	again, err := json.Marshal(next.p.Snapshot())
+	successor := newPolicyRunner(t, s, entries...)
+	successor.now = predecessor.now
+	successor.step(Event{Kind: EvSnapshot, Snapshot: restored})
+	again, err := json.Marshal(successor.policy.Snapshot())
 	if err != nil || string(again) != string(text) {
-		t.Errorf("remembered\n%s\ntaken up as\n%s, %v", text, again, err)
+		t.Errorf("got snapshot\n%[2]s\nafter restoring\n%[1]s\nerror %[3]v", text, again, err)
 	}
 	waits := 0
-	for _, l := range append(next.p.destination(0).limiters, next.p.destination(1).limiters...) {
-		if l.retryAfterUntil > next.now {
+	for _, l := range append(successor.policy.destination(0).limiters, successor.policy.destination(1).limiters...) {
+		if l.retryAfterUntil > successor.now {
 			waits++
 		}
 	}
 	if waits == 0 {
-		t.Error("no wait binds")
+		t.Error("no wait in force after restoring")
 	}
-	m.Lanes[0].Endpoints[0].Endpoint = 99 // off the list by now
-	newRig(t, s, entries...).step(Event{Kind: EvSnapshot, Snapshot: m})
+	restored.Lanes[0].Endpoints[0].Endpoint = 99 // no longer listed; it must be ignored
+	newPolicyRunner(t, s, entries...).step(Event{Kind: EvSnapshot, Snapshot: restored})
 }
 
-// Guards calls that another process has out: they hold their slots, count in
-// their window, are not sent again, and end like any other.
-func TestCarriedCalls(t *testing.T) {
-	s := one()
+// TestInheritedCalls checks calls that another process has in flight: they take a slot, count in the window, are not
+// sent again, and end like any other call.
+func TestInheritedCalls(t *testing.T) {
+	s := defaultSettings()
 	s.Slots = 3
-	r := newRig(t, s, ready(7, 1000), Entry{Endpoint: 8, Dest: 1, State: Ready, Rate: 1000})
-	out := func(id uint32, dest int, ep Endpoint, call uint64) Event {
-		return Event{Kind: EvMessage, Message: id, Dest: dest, TimeLeft: 10 * second, Attempts: 1, OriginalClass: &s.Classes[0], OriginalMaxAttempts: 9,
-			InFlightEndpoint: ep, InFlightSince: r.now - second/10, InFlightCall: call}
+	r := newPolicyRunner(t, s, readyEntry(7, 1000), Entry{Endpoint: 8, Dest: 1, State: Ready, Rate: 1000})
+	inFlightEvent := func(id uint32, dest int, ep Endpoint, call uint64) Event {
+		return Event{Kind: EvMessage, Message: id, Dest: dest, TimeLeft: 10 * second, Attempts: 1,
+			OriginalClass: &s.Classes[0], OriginalMaxAttempts: 9, InFlightEndpoint: ep,
+			InFlightSince: r.now - second/10, InFlightCall: call}
 	}
-	r.next = 100
-	r.step(out(1, 0, 7, 1), out(2, 0, 7, 1), out(3, 1, 8, 2), out(4, 1, 55, 3), r.message(0, 0), r.message(0, 1))
-	if len(r.sends) != 0 || r.p.callsInFlight != 3 {
-		t.Fatalf("%d calls held to be out, sent %v", r.p.callsInFlight, r.sends)
+	r.nextMessage = 100
+	r.step(inFlightEvent(1, 0, 7, 1), inFlightEvent(2, 0, 7, 1), inFlightEvent(3, 1, 8, 2), inFlightEvent(4, 1, 55, 3),
+		r.messageEvent(0, 0), r.messageEvent(0, 1))
+	if len(r.sends) != 0 || r.policy.callsInFlight != 3 {
+		t.Fatalf("got %d calls in flight and sends %v, want 3 and none", r.policy.callsInFlight, r.sends)
 	}
 	r.step(Event{Kind: EvOutcome, Message: 1, Endpoint: 7, Outcome: Delivered, Final: true, Duration: second / 10})
 	if len(r.sends) != 0 {
-		t.Fatalf("sent %v while the call is out for another message", r.sends)
+		t.Fatalf("got sends %v while the call is still in flight for its other message, want none", r.sends)
 	}
 	r.step(Event{Kind: EvOutcome, Message: 2, Endpoint: 7, Outcome: Errored, Duration: second / 10})
-	if len(r.sends) != 1 || r.p.callsInFlight != 3 {
-		t.Fatalf("one slot is free: sent %v, %d out", r.sends, r.p.callsInFlight)
+	if len(r.sends) != 1 || r.policy.callsInFlight != 3 {
+		t.Fatalf("got sends %v and %d calls in flight with one slot free, want 1 and 3", r.sends,
+			r.policy.callsInFlight)
 	}
 	r.step(Event{Kind: EvOutcome, Message: 4, Endpoint: 55, Outcome: Delivered, Final: true, Duration: second / 10})
 	r.step(Event{Kind: EvOutcome, Message: 3, Endpoint: 8, Outcome: Delivered, Final: true, Duration: second / 10})
 	for _, id := range []uint32{1, 3, 4} {
-		if r.p.messages[id] != nil {
-			t.Errorf("message %d is delivered and still known", id)
+		if r.policy.messages[id] != nil {
+			t.Errorf("message %d still held after its delivery", id)
 		}
 	}
 }
 
-// TestSuspicionOutlastsTheProcess: one failure, too few for a verdict, is kept for the next process, which holds it to
-// be an outage unless it is older than what is learned of a quiet destination; a success ends it.
-func TestSuspicionOutlastsTheProcess(t *testing.T) {
-	s := one()
+// TestSuspectedOutageIsRestored checks that one failure, too few for an ejection, is kept for the successor process,
+// which ejects the endpoint unless the failure is older than the idle retention. A success clears the failure.
+func TestSuspectedOutageIsRestored(t *testing.T) {
+	s := defaultSettings()
 	s.Relays = 300
 	for _, c := range []struct {
 		name    string
 		success bool
 		age     Time
 		kept    bool
-		sick    bool
+		ejected bool
 	}{
 		{"one failure", false, second, true, true},
-		{"one failure, long ago", false, 2 * minIdleRetention, true, false},
-		{"a success since", true, second, false, false},
+		{"one old failure", false, 2 * minIdleRetention, true, false},
+		{"a success after it", true, second, false, false},
 	} {
-		old := newRig(t, s, ready(1, 200))
-		ep := old.p.endpoints[1]
-		old.p.now = old.now
-		old.p.recordFailure(ep, old.now, false)
+		predecessor := newPolicyRunner(t, s, readyEntry(1, 200))
+		ep := predecessor.policy.endpoints[1]
+		predecessor.policy.now = predecessor.now
+		predecessor.policy.recordFailure(ep, predecessor.now, false)
 		if ep.ejected {
-			t.Fatalf("%s: one failure is an outage", c.name)
+			t.Fatalf("%s: endpoint ejected after one failure", c.name)
 		}
 		if c.success {
-			old.p.now += second / 10
-			old.p.recordSuccess(ep, old.p.now)
+			predecessor.policy.now += second / 10
+			predecessor.policy.recordSuccess(ep, predecessor.policy.now)
 		}
-		outage, kept := old.p.Outage(1)
+		outage, kept := predecessor.policy.Outage(1)
 		if kept != c.kept {
-			t.Errorf("%s: kept %v, want %v", c.name, kept, c.kept)
+			t.Errorf("%s: got outage kept %v, want %v", c.name, kept, c.kept)
 		}
-		next := newRig(t, s, ready(1, 200))
-		next.now = old.now + c.age
+		successor := newPolicyRunner(t, s, readyEntry(1, 200))
+		successor.now = predecessor.now + c.age
 		if kept {
-			next.step(Event{Kind: EvSnapshot, Snapshot: &Snapshot{Outages: []OutageSnapshot{outage}}})
+			successor.step(Event{Kind: EvSnapshot, Snapshot: &Snapshot{Outages: []OutageSnapshot{outage}}})
 		}
-		if next.p.endpoints[1].ejected != c.sick {
-			t.Errorf("%s: held to be out %v after a restart, want %v", c.name, next.p.endpoints[1].ejected, c.sick)
+		if successor.policy.endpoints[1].ejected != c.ejected {
+			t.Errorf("%s: got ejected %v after the restart, want %v", c.name, successor.policy.endpoints[1].ejected,
+				c.ejected)
 		}
 	}
 }
--- a/decide/records_test.go
+++ b/decide/records_test.go
@@ -5,33 +5,34 @@
 	"testing"
 )
 
-// While attempts cannot be recorded, only what a kill cannot turn into a second effect goes out; the rest
-// waits, without losing attempts, and goes out as soon as they can be recorded again.
+// TestAttemptsThatCannotBeRecorded checks that while attempts cannot be recorded, a message is sent only if a kill of
+// the process could not make it take effect twice. The others wait without using up attempts, and are sent as soon as
+// attempts can be recorded again.
 func TestAttemptsThatCannotBeRecorded(t *testing.T) {
-	s := one()
+	s := defaultSettings()
 	s.Classes = []Class{
-		{Name: "safe", Idempotency: Idempotent},
-		{Name: "unsafe", Idempotency: NonIdempotent},
-		{Name: "keyed, over before its window is", Idempotency: Deduplicated, DedupWindow: 20 * second},
-		{Name: "keyed, over after its window", Idempotency: Deduplicated, DedupWindow: 20*second - 1},
-		{Name: "keyed within a zone", Idempotency: Deduplicated, DedupWindow: 20 * second, DedupByZone: true},
+		{Name: "idempotent", Idempotency: Idempotent},
+		{Name: "non-idempotent", Idempotency: NonIdempotent},
+		{Name: "deduplicated, deadline within the window", Idempotency: Deduplicated, DedupWindow: 20 * second},
+		{Name: "deduplicated, deadline after the window", Idempotency: Deduplicated, DedupWindow: 20*second - 1},
+		{Name: "deduplicated by zone", Idempotency: Deduplicated, DedupWindow: 20 * second, DedupByZone: true},
 	}
 	for i := range s.Classes {
 		s.Classes[i].TargetTime, s.Classes[i].Deadline, s.Classes[i].Worth = 2*second, 20*second, 1
 	}
 	var entries []Entry
 	for class := range s.Classes {
-		e := ready(Endpoint(class+1), 1000)
+		e := readyEntry(Endpoint(class+1), 1000)
 		e.Dest = class
 		entries = append(entries, e)
 	}
-	r := newRig(t, s, entries...)
+	r := newPolicyRunner(t, s, entries...)
 	r.step(Event{Kind: EvRecording, CannotRecord: true})
 	var events []Event
 	for class := range s.Classes {
-		events = append(events, r.message(class, class))
+		events = append(events, r.messageEvent(class, class))
 	}
-	sent := func() []Endpoint {
+	sentTo := func() []Endpoint {
 		var to []Endpoint
 		for _, a := range r.sends {
 			to = append(to, a.Endpoint)
@@ -39,22 +40,22 @@
 		slices.Sort(to)
 		return to
 	}
-	if r.step(events...); !slices.Equal(sent(), []Endpoint{1, 3}) {
-		t.Fatalf("sent to %v while nothing can be recorded", sent())
+	if r.step(events...); !slices.Equal(sentTo(), []Endpoint{1, 3}) {
+		t.Fatalf("sent to endpoints %v while attempts cannot be recorded, want 1 and 3", sentTo())
 	}
 	for range 20 {
 		r.now += second / 10
 		if r.step(Event{Kind: EvTimer}); len(r.sends) > 0 {
-			t.Fatalf("then sent to %v", sent())
+			t.Fatalf("sent to endpoints %v in the next 2 s, want none", sentTo())
 		}
 	}
 	r.step(Event{Kind: EvRecording})
-	if !slices.Equal(sent(), []Endpoint{2, 4, 5}) {
-		t.Fatalf("sent to %v once attempts can be recorded", sent())
+	if !slices.Equal(sentTo(), []Endpoint{2, 4, 5}) {
+		t.Fatalf("sent to endpoints %v once attempts can be recorded, want 2, 4 and 5", sentTo())
 	}
 	for _, a := range r.sends {
-		if a.Attempt != 0 && r.p.messages[a.Message].attempts != 1 {
-			t.Errorf("message %d has used %d attempts", a.Message, r.p.messages[a.Message].attempts)
+		if a.Attempt != 0 && r.policy.messages[a.Message].attempts != 1 {
+			t.Errorf("message %d has used %d attempts, want 1", a.Message, r.policy.messages[a.Message].attempts)
 		}
 	}
 }
--- a/decide/second_test.go
+++ b/decide/second_test.go
@@ -2,48 +2,48 @@
 
 import "testing"
 
-// TestSecondOutage: an endpoint that has been through a ramp is held to be out by as many failures in a row as one
-// that never was, and while it sends now and then in between.
+// TestSecondOutage checks that an endpoint which has been through an outage and a ramp is ejected by as many failures
+// in a row as one that has not, with pauses between the calls.
 func TestSecondOutage(t *testing.T) {
-	failures := func(again bool) int {
-		r := newRig(t, one(), ready(1, 1000))
-		ep := r.p.endpoints[1]
-		var out []Action
-		tries := map[uint32]int{}
+	failures := func(recovered bool) int {
+		r := newPolicyRunner(t, defaultSettings(), readyEntry(1, 1000))
+		ep := r.policy.endpoints[1]
+		var sends []Action
+		attempts := map[uint32]int{}
 		step := func(events ...Event) {
 			r.step(events...)
-			out = append(out, r.sends...)
+			sends = append(sends, r.sends...)
 		}
 		call := func(o Outcome) {
 			t.Helper()
-			for n := 0; len(out) == 0; n++ {
+			for n := 0; len(sends) == 0; n++ {
 				if n > 400 {
-					t.Fatal("no call")
+					t.Fatal("no call within 40 s")
 				}
-				step(r.message(0, 0))
+				step(r.messageEvent(0, 0))
 				r.now += second / 10
 			}
-			e := answer(out[0], o)
-			e.Attempt = tries[e.Message]
-			tries[e.Message]++
-			out = out[1:]
+			e := outcomeEvent(sends[0], o)
+			e.Attempt = attempts[e.Message]
+			attempts[e.Message]++
+			sends = sends[1:]
 			r.now += second / 100
 			step(e)
 			r.now += second / 2
 			step(Event{Kind: EvTimer})
 		}
 		call(Delivered)
-		if again {
+		if recovered {
 			for n := 0; !ep.ejected; n++ {
 				if n > 20 {
-					t.Fatal("never held to be out")
+					t.Fatal("endpoint not ejected after 20 failures")
 				}
 				call(Errored)
 			}
 			call(Delivered)
 			for n := 0; ep.ejected; n++ {
 				if n > 400 {
-					t.Fatal("never well again")
+					t.Fatal("endpoint still ejected after 400 successes")
 				}
 				call(Delivered)
 			}
@@ -56,6 +56,7 @@
 		return 21
 	}
 	if first, second := failures(false), failures(true); first != second {
-		t.Errorf("%d failures tell the first outage, %d the second", first, second)
+		t.Errorf("got an ejection after %d failures in the first outage and %d in the second, want the same number",
+			first, second)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -2,40 +2,42 @@
 
 import "testing"
 
-const mostListed = 1024 // relays, and endpoints, that a deployment may have
+const maxListed = 1024 // relays of the largest deployment, and also its endpoints
 
-// many lists as many endpoints as there may be, over so many destinations.
-func many(t testing.TB, dests int, apart bool) (*Policy, *Settings) {
+// newLargeFleet returns a policy with maxListed endpoints, divided among the given number of destinations.
+func newLargeFleet(t testing.TB, destinations int, separateLimits bool) (*Policy, *Settings) {
 	t.Helper()
-	s := one()
-	s.Relays, s.MaxHeld, s.Slots = mostListed, 2*mostListed, mostListed
-	s.Kinds = []DestKind{{MaxBatch: 1, SeparateLimits: apart}}
+	s := defaultSettings()
+	s.Relays, s.MaxHeld, s.Slots = maxListed, 2*maxListed, maxListed
+	s.Kinds = []DestKind{{MaxBatch: 1, SeparateLimits: separateLimits}}
 	p, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := Event{Kind: EvList, List: ListFull}
-	for i := range mostListed {
-		e.Entries = append(e.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i % dests, State: Ready, Rate: mostListed * mostListed})
+	for i := range maxListed {
+		e.Entries = append(e.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i % destinations, State: Ready,
+			Rate: maxListed * maxListed})
 	}
 	p.Step(1000*second, []Event{e}, nil)
 	return p, &s
 }
 
-// TestLargestFleet: whether they are one destination's or each its own, as many endpoints as there may be
-// all get their messages, and what has left the list gets none.
+// TestLargestFleet checks that with the highest number of endpoints, of one destination or of one each, all messages
+// are sent, and none to an endpoint that has been removed from the list.
 func TestLargestFleet(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		dests int
-		apart bool
-	}{{"one destination", 1, false}, {"one destination, routes apart", 1, true}, {"each its own", mostListed, false}} {
-		p, s := many(t, c.dests, c.apart)
-		gone := map[Endpoint]bool{}
+		name           string
+		destinations   int
+		separateLimits bool
+	}{{"one destination", 1, false}, {"one destination with separate limits", 1, true},
+		{"a destination for each endpoint", maxListed, false}} {
+		p, s := newLargeFleet(t, c.destinations, c.separateLimits)
+		removed := map[Endpoint]bool{}
 		e := Event{Kind: EvList, List: ListDelta}
-		for i := c.dests / 2; i < c.dests; i += 2 {
-			if c.dests > 1 {
-				gone[Endpoint(i+1)] = true
+		for i := c.destinations / 2; i < c.destinations; i += 2 {
+			if c.destinations > 1 {
+				removed[Endpoint(i+1)] = true
 				e.Entries = append(e.Entries, Entry{Endpoint: Endpoint(i + 1), Dest: i, State: Removed})
 			}
 		}
@@ -46,17 +48,18 @@
 		for step := range 400 {
 			for i := range 16 {
 				n := 16*step + i
-				if n < mostListed {
-					events = append(events, Event{Kind: EvMessage, Message: uint32(n + 1), Dest: n % c.dests, TimeLeft: s.Classes[0].Deadline})
+				if n < maxListed {
+					events = append(events, Event{Kind: EvMessage, Message: uint32(n + 1), Dest: n % c.destinations,
+						TimeLeft: s.Classes[0].Deadline})
 				}
 			}
-			acts := p.Step(now, events, nil)
+			actions := p.Step(now, events, nil)
 			events = nil
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == ActSend {
-					events = append(events, answer(a, Delivered))
-					if gone[a.Endpoint] {
-						t.Errorf("%s: endpoint %d is gone and was sent to", c.name, a.Endpoint)
+					events = append(events, outcomeEvent(a, Delivered))
+					if removed[a.Endpoint] {
+						t.Errorf("%s: message sent to the removed endpoint %d", c.name, a.Endpoint)
 					}
 					sent++
 					used[a.Endpoint] = true
@@ -64,24 +67,25 @@
 			}
 			now += second / 40
 		}
-		if want := mostListed - len(gone); sent < want {
-			t.Errorf("%s: %d of %d messages sent", c.name, sent, want)
+		if want := maxListed - len(removed); sent < want {
+			t.Errorf("%s: got %d messages sent, want at least %d", c.name, sent, want)
 		}
-		if len(used) < min(c.dests, mostListed-len(gone)) {
-			t.Errorf("%s: %d endpoints used", c.name, len(used))
+		if len(used) < min(c.destinations, maxListed-len(removed)) {
+			t.Errorf("%s: got %d endpoints used, want one or more for each remaining destination", c.name, len(used))
 		}
 	}
 }
 
+// BenchmarkManyEndpoints measures the cost of a message and its outcome at one destination with maxListed endpoints.
 func BenchmarkManyEndpoints(b *testing.B) {
-	p, s := many(b, 1, false)
+	p, s := newLargeFleet(b, 1, false)
 	now := 1001 * second
 	for n := uint32(1); b.Loop(); n++ {
-		acts := p.Step(now, []Event{{Kind: EvMessage, Message: n, TimeLeft: s.Classes[0].Deadline}}, nil)
+		actions := p.Step(now, []Event{{Kind: EvMessage, Message: n, TimeLeft: s.Classes[0].Deadline}}, nil)
 		var events []Event
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == ActSend {
-				events = append(events, answer(a, Delivered))
+				events = append(events, outcomeEvent(a, Delivered))
 			}
 		}
 		p.Step(now+second/1000, events, nil)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -6,63 +6,71 @@
 	"testing"
 )
 
-// The checker below keeps books of its own, from the events it hands out and the actions it gets back.
+// The checker tracks the state of all messages on its own, from the events given to the policy and the actions
+// that it returns.
 
-type heldMsg struct {
-	class, dest, zone int
-	key               uint64
-	seq               int
-	deadline          Time
-	tries             int
-	out               bool
-	firstDoubt        Time
-	doubt, done       bool
-	at                Endpoint
+// trackedMessage is a message as the checker sees it.
+type trackedMessage struct {
+	class, dest, mayHaveRunZone int
+	key                         uint64
+	seq                         int
+	deadline                    Time
+	attempts                    int
+	inFlight                    bool
+	mayHaveRunAt                Time // send of the first attempt that may have run; 0 for none
+	mayHaveRun, ended           bool
+	endpoint                    Endpoint
 }
 
-type flight struct {
-	msg     uint32
-	attempt int
-	at      Endpoint
-	cut     Time
-	due     Time
+// pendingEvent is an attempt in flight, or a timer, of which only dueAt is set.
+type pendingEvent struct {
+	message   uint32
+	attempt   int
+	endpoint  Endpoint
+	timeoutAt Time
+	dueAt     Time
 }
 
+// checker checks the actions of a policy against the rules that must always hold.
 type checker struct {
-	set      Settings
-	eps      map[Endpoint]Entry
-	badSince map[Endpoint]Time // told draining or gone
-	msgs     map[uint32]*heldMsg
-	flights  []flight
-	timers   []flight
-	waits    map[string]Time
-	order    map[uint64][]uint32
-	rest     map[uint64]Time
-	probes   []Endpoint
-	errs     []string
-	sends    int
-	refused  int
-	failed   int
+	settings        Settings
+	entries         map[Endpoint]Entry
+	unusableSince   map[Endpoint]Time // when the list first had the endpoint as draining or removed, or lacked it
+	messages        map[uint32]*trackedMessage
+	inFlight        []pendingEvent
+	timers          []pendingEvent
+	retryAfterUntil map[string]Time     // by limiterName
+	orderedKeys     map[uint64][]uint32 // message ids in order of arrival, by key
+	keyPausedUntil  map[uint64]Time
+	probes          []Endpoint
+	violations      []string
+	sends           int
+	refused         int // messages handed back
+	failed          int // messages given up
 }
 
 func newChecker(s Settings) *checker {
-	return &checker{set: s, eps: map[Endpoint]Entry{}, badSince: map[Endpoint]Time{}, msgs: map[uint32]*heldMsg{},
-		waits: map[string]Time{}, order: map[uint64][]uint32{}, rest: map[uint64]Time{}}
+	return &checker{settings: s, entries: map[Endpoint]Entry{}, unusableSince: map[Endpoint]Time{},
+		messages: map[uint32]*trackedMessage{}, retryAfterUntil: map[string]Time{}, orderedKeys: map[uint64][]uint32{},
+		keyPausedUntil: map[uint64]Time{}}
 }
 
-func (c *checker) fault(now Time, format string, args ...any) {
-	c.errs = append(c.errs, fmt.Sprintf("%d: ", now)+fmt.Sprintf(format, args...))
+// violationf records a violation of a rule.
+func (c *checker) violationf(now Time, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%d: ", now)+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) route(e Endpoint) string {
-	x := c.eps[e]
-	if c.set.Kinds[x.Kind].SeparateLimits {
+// limiterName names the limiter of an endpoint: a route with separate limits, or the whole destination.
+func (c *checker) limiterName(e Endpoint) string {
+	x := c.entries[e]
+	if c.settings.Kinds[x.Kind].SeparateLimits {
 		return fmt.Sprintf("e%d", e)
 	}
 	return fmt.Sprintf("d%d", x.Dest)
 }
 
-func (c *checker) list(now Time, e Event) {
+// applyList tracks an update of the list.
+func (c *checker) applyList(now Time, e Event) {
 	if e.List == ListFailed {
 		return
 	}
@@ -70,151 +78,158 @@
 	for _, x := range e.Entries {
 		seen[x.Endpoint] = true
 		if x.State == Ready {
-			delete(c.badSince, x.Endpoint)
-		} else if _, ok := c.badSince[x.Endpoint]; !ok {
-			c.badSince[x.Endpoint] = now
+			delete(c.unusableSince, x.Endpoint)
+		} else if _, ok := c.unusableSince[x.Endpoint]; !ok {
+			c.unusableSince[x.Endpoint] = now
 		}
-		c.eps[x.Endpoint] = x
+		c.entries[x.Endpoint] = x
 	}
 	if e.List == ListFull || e.List == ListCached {
-		for id := range c.eps {
-			if _, bad := c.badSince[id]; !seen[id] && !bad {
-				c.badSince[id] = now
+		for id := range c.entries {
+			if _, bad := c.unusableSince[id]; !seen[id] && !bad {
+				c.unusableSince[id] = now
 			}
 		}
 	}
 }
 
-func (c *checker) arrive(now Time, e Event, seq int) {
-	m := &heldMsg{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.TimeLeft}
-	c.msgs[e.Message] = m
-	if c.set.Classes[e.Class].InOrder && e.Key != 0 {
-		c.order[e.Key] = append(c.order[e.Key], e.Message)
+// addMessage tracks a new message; seq is its place in the order of arrival.
+func (c *checker) addMessage(now Time, e Event, seq int) {
+	m := &trackedMessage{class: e.Class, dest: e.Dest, key: e.Key, seq: seq, deadline: now + e.TimeLeft}
+	c.messages[e.Message] = m
+	if c.settings.Classes[e.Class].InOrder && e.Key != 0 {
+		c.orderedKeys[e.Key] = append(c.orderedKeys[e.Key], e.Message)
 	}
 }
 
-func (c *checker) resolved(now Time, e Event) {
-	m := c.msgs[e.Message]
-	m.out = false
+// applyOutcome tracks the end of an attempt.
+func (c *checker) applyOutcome(now Time, e Event) {
+	m := c.messages[e.Message]
+	m.inFlight = false
 	switch e.Outcome {
 	case Delivered:
-		m.done = true
+		m.ended = true
 	case Errored, TimedOut, Reset, Cancelled:
-		if !m.doubt {
-			m.doubt = true
-			m.zone = c.eps[e.Endpoint].Zone
+		if !m.mayHaveRun {
+			m.mayHaveRun = true
+			m.mayHaveRunZone = c.entries[e.Endpoint].Zone
 		}
 	}
-	if !m.doubt {
-		m.firstDoubt = 0
+	if !m.mayHaveRun {
+		m.mayHaveRunAt = 0
 	}
 	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled {
-		c.rest[m.key] = max(c.rest[m.key], now+c.set.OrderedKeyPause)
+		c.keyPausedUntil[m.key] = max(c.keyPausedUntil[m.key], now+c.settings.OrderedKeyPause)
 	}
 	if e.Outcome == Rejected && e.RetryAfter > 0 {
-		r := c.route(e.Endpoint)
-		c.waits[r] = max(c.waits[r], now+e.RetryAfter)
+		r := c.limiterName(e.Endpoint)
+		c.retryAfterUntil[r] = max(c.retryAfterUntil[r], now+e.RetryAfter)
 	}
 }
 
-func (c *checker) action(now Time, a Action) {
-	m := c.msgs[a.Message]
+// checkAction checks one action and tracks its effect.
+func (c *checker) checkAction(now Time, a Action) {
+	m := c.messages[a.Message]
 	switch a.Kind {
 	case ActSend:
 		c.sends++
-		x, known := c.eps[a.Endpoint]
+		entry, known := c.entries[a.Endpoint]
 		switch {
 		case m == nil:
-			c.fault(now, "send of unknown %d", a.Message)
+			c.violationf(now, "sent unknown message %d", a.Message)
 			return
-		case m.done:
-			c.fault(now, "send of %d after its end", a.Message)
-		case m.out:
-			c.fault(now, "two attempts of %d at once", a.Message)
-		case !known || x.Dest != m.dest:
-			c.fault(now, "send of %d to an endpoint of another destination", a.Message)
+		case m.ended:
+			c.violationf(now, "sent message %d after it had ended", a.Message)
+		case m.inFlight:
+			c.violationf(now, "sent message %d with an attempt still in flight", a.Message)
+		case !known || entry.Dest != m.dest:
+			c.violationf(now, "sent message %d to an endpoint of another destination", a.Message)
 		case a.TimeoutAt > m.deadline:
-			c.fault(now, "attempt of %d outlives its deadline", a.Message)
-		case c.set.MaxAttempts > 0 && m.tries >= c.set.MaxAttempts:
-			c.fault(now, "attempt %d of %d", m.tries, a.Message)
+			c.violationf(now, "attempt of message %d times out after the deadline", a.Message)
+		case c.settings.MaxAttempts > 0 && m.attempts >= c.settings.MaxAttempts:
+			c.violationf(now, "%d attempts already made when message %d was sent, want fewer than MaxAttempts",
+				m.attempts, a.Message)
 		}
-		if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-			c.fault(now, "drain: send of %d to %d", a.Message, a.Endpoint)
+		if at, bad := c.unusableSince[a.Endpoint]; bad && now > at+c.settings.DrainGrace {
+			c.violationf(now, "drain: sent message %d to endpoint %d after the drain grace", a.Message, a.Endpoint)
 		}
-		if now < c.waits[c.route(a.Endpoint)] {
-			c.fault(now, "wait: send of %d to %d", a.Message, a.Endpoint)
+		if now < c.retryAfterUntil[c.limiterName(a.Endpoint)] {
+			c.violationf(now, "wait: sent message %d to endpoint %d before its Retry-After was over", a.Message,
+				a.Endpoint)
 		}
-		cl := &c.set.Classes[m.class]
-		if m.doubt && cl.Idempotency == NonIdempotent {
-			c.fault(now, "unsafe %d sent again", a.Message)
+		class := &c.settings.Classes[m.class]
+		if m.mayHaveRun && class.Idempotency == NonIdempotent {
+			c.violationf(now, "sent non-idempotent message %d again", a.Message)
 		}
-		if m.doubt && cl.Idempotency == Deduplicated {
-			if now > m.firstDoubt+cl.DedupWindow {
-				c.fault(now, "keyed %d sent outside its window", a.Message)
+		if m.mayHaveRun && class.Idempotency == Deduplicated {
+			if now > m.mayHaveRunAt+class.DedupWindow {
+				c.violationf(now, "sent deduplicated message %d after its deduplication window", a.Message)
 			}
-			if cl.DedupByZone && x.Zone != m.zone {
-				c.fault(now, "keyed %d left its zone", a.Message)
+			if class.DedupByZone && entry.Zone != m.mayHaveRunZone {
+				c.violationf(now, "sent message %d, deduplicated by zone, to another zone", a.Message)
 			}
 		}
-		if cl.InOrder && m.key != 0 {
-			for _, id := range c.order[m.key] {
-				o := c.msgs[id]
-				if o.seq < m.seq && (!o.done || o.out) {
-					c.fault(now, "order: %d before %d", a.Message, id)
+		if class.InOrder && m.key != 0 {
+			for _, id := range c.orderedKeys[m.key] {
+				o := c.messages[id]
+				if o.seq < m.seq && (!o.ended || o.inFlight) {
+					c.violationf(now, "order: sent message %d before message %d of the same key", a.Message, id)
 				}
 			}
-			if m.tries == 0 && now < c.rest[m.key] {
-				c.fault(now, "order: %d inside the rest of its key", a.Message)
+			if m.attempts == 0 && now < c.keyPausedUntil[m.key] {
+				c.violationf(now, "order: sent message %d while its key was paused", a.Message)
 			}
 		}
-		if !m.doubt {
-			m.firstDoubt = now // it counts from this send if this attempt may have run
+		if !m.mayHaveRun {
+			m.mayHaveRunAt = now // applyOutcome clears it if this attempt never ran
 		}
-		m.tries++
-		m.out, m.at = true, a.Endpoint
-		c.flights = append(c.flights, flight{msg: a.Message, attempt: m.tries - 1, at: a.Endpoint, cut: a.TimeoutAt})
+		m.attempts++
+		m.inFlight, m.endpoint = true, a.Endpoint
+		c.inFlight = append(c.inFlight, pendingEvent{message: a.Message, attempt: m.attempts - 1, endpoint: a.Endpoint,
+			timeoutAt: a.TimeoutAt})
 	case ActRefuse, ActFail:
-		if m == nil || m.done {
-			c.fault(now, "second answer for %d", a.Message)
+		if m == nil || m.ended {
+			c.violationf(now, "message %d answered twice", a.Message)
 			return
 		}
-		m.done = true
-		if now > m.deadline+c.set.AnswerSlack {
-			c.fault(now, "late answer for %d", a.Message)
+		m.ended = true
+		if now > m.deadline+c.settings.AnswerSlack {
+			c.violationf(now, "message %d answered after its deadline", a.Message)
 		}
 		if a.Kind == ActFail {
 			c.failed++
 			return
 		}
 		c.refused++
-		cl := &c.set.Classes[m.class]
-		open := m.doubt || m.out
-		if open && (cl.Idempotency == NonIdempotent || cl.Idempotency == Deduplicated && cl.DedupByZone) {
-			c.fault(now, "refused %d which may have run", a.Message)
+		class := &c.settings.Classes[m.class]
+		open := m.mayHaveRun || m.inFlight
+		if open && (class.Idempotency == NonIdempotent || class.Idempotency == Deduplicated && class.DedupByZone) {
+			c.violationf(now, "handed back message %d, which may have run", a.Message)
 		}
 	case ActTimer:
-		c.timers = append(c.timers, flight{due: now + a.After})
+		c.timers = append(c.timers, pendingEvent{dueAt: now + a.After})
 	case ActProbe:
-		if now < c.waits[c.route(a.Endpoint)] {
-			c.fault(now, "wait: probe to %d", a.Endpoint)
+		if now < c.retryAfterUntil[c.limiterName(a.Endpoint)] {
+			c.violationf(now, "wait: probed endpoint %d before its Retry-After was over", a.Endpoint)
 		}
-		if at, bad := c.badSince[a.Endpoint]; bad && now > at+c.set.DrainGrace {
-			c.fault(now, "drain: probe to %d", a.Endpoint)
+		if at, bad := c.unusableSince[a.Endpoint]; bad && now > at+c.settings.DrainGrace {
+			c.violationf(now, "drain: probed endpoint %d after the drain grace", a.Endpoint)
 		}
 		c.probes = append(c.probes, a.Endpoint)
 	}
 }
 
-func (c *checker) finish(now Time) {
-	for id, m := range c.msgs {
-		if !m.done && now > m.deadline+c.set.AnswerSlack {
-			c.fault(now, "no answer for %d", id)
-			m.done = true
+// checkStep checks after a step that each message was answered in time and that the slots were respected.
+func (c *checker) checkStep(now Time) {
+	for id, m := range c.messages {
+		if !m.ended && now > m.deadline+c.settings.AnswerSlack {
+			c.violationf(now, "message %d not answered by its deadline", id)
+			m.ended = true
 		}
 	}
-	n := len(c.flights)
-	if most := c.set.Slots; n > most*maxBatch(c.set) {
-		c.fault(now, "%d attempts out with %d slots", n, most)
+	n := len(c.inFlight)
+	if slots := c.settings.Slots; n > slots*maxBatch(c.settings) {
+		c.violationf(now, "%d attempts in flight with %d slots", n, slots)
 	}
 }
 
@@ -226,76 +241,79 @@
 	return b
 }
 
-// testSettings draws legal settings; every kind of class is among them.
-func testSettings(r *rand.Rand) Settings {
-	s := Settings{Relays: 1 + r.IntN(4), Slots: 1 + r.IntN(12), MaxHeld: r.IntN(80), MaxAttempts: r.IntN(9),
-		WorthHalves: r.IntN(2) == 0, OverShareWorth: 0.2, RatesListed: r.IntN(2) == 0, MayProbe: r.IntN(2) == 0,
-		MayCancel: r.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
+// randomSettings returns random valid settings with a class of every kind.
+func randomSettings(rng *rand.Rand) Settings {
+	s := Settings{Relays: 1 + rng.IntN(4), Slots: 1 + rng.IntN(12), MaxHeld: rng.IntN(80), MaxAttempts: rng.IntN(9),
+		WorthHalves: rng.IntN(2) == 0, OverShareWorth: 0.2, RatesListed: rng.IntN(2) == 0, MayProbe: rng.IntN(2) == 0,
+		MayCancel: rng.IntN(2) == 0, RetryAfter: true, MaxRetryAfter: 2 * second, KeepAlive: 5 * second,
 		ConnectTimeout: second, Tick: 5000, AnswerSlack: 20000, DrainGrace: 0, StartCapacity: 0.2,
 		RampTime: 8 * second, OverloadFactor: 2, OverloadTime: 3 * second, OrderedKeyPause: second / 2,
-		Kinds:   []DestKind{{MaxBatch: 1 + r.IntN(4)}, {SeparateLimits: true, MaxBatch: 1}},
+		Kinds:   []DestKind{{MaxBatch: 1 + rng.IntN(4)}, {SeparateLimits: true, MaxBatch: 1}},
 		Tenants: []Tenant{{Name: "a", Quota: 3}, {Name: "b"}},
 		Classes: []Class{
-			{Name: "safe", TargetTime: second, Deadline: 6 * second, Worth: 1, LateWorth: 0.2},
-			{Name: "keyed", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Idempotency: Deduplicated,
-				DedupWindow: 3 * second / 2},
-			{Name: "zoned", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3, Idempotency: Deduplicated,
-				DedupWindow: 3 * second, DedupByZone: true},
-			{Name: "unsafe", TargetTime: 2 * second, Deadline: 7 * second, Worth: 3, LateWorth: 0.3, Idempotency: NonIdempotent},
+			{Name: "idempotent", TargetTime: second, Deadline: 6 * second, Worth: 1, LateWorth: 0.2},
+			{Name: "deduplicated", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3,
+				Idempotency: Deduplicated, DedupWindow: 3 * second / 2},
+			{Name: "deduplicated by zone", TargetTime: 2 * second, Deadline: 9 * second, Worth: 2, LateWorth: 0.3,
+				Idempotency: Deduplicated, DedupWindow: 3 * second, DedupByZone: true},
+			{Name: "non-idempotent", TargetTime: 2 * second, Deadline: 7 * second, Worth: 3, LateWorth: 0.3,
+				Idempotency: NonIdempotent},
 			{Name: "ordered", TargetTime: second, Deadline: 8 * second, Worth: 1, LateWorth: 0.3, InOrder: true},
 		}}
 	return s
 }
 
-// play runs a seeded random legal day against a policy and returns the checker and all that was asked.
-func play(t testing.TB, seed uint64, steps int) (*checker, []string) {
+// runRandomScenario runs a seeded random sequence of valid events against a policy. It returns the checker and a
+// trace of all actions.
+func runRandomScenario(t testing.TB, seed uint64, steps int) (*checker, []string) {
 	t.Helper()
-	r := rand.New(rand.NewPCG(seed, 7))
-	set := testSettings(r)
-	p, err := New(set, seed)
+	rng := rand.New(rand.NewPCG(seed, 7))
+	settings := randomSettings(rng)
+	policy, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newChecker(set)
-	now := Time(r.Int64N(int64(1000 * second)))
+	c := newChecker(settings)
+	now := Time(rng.Int64N(int64(1000 * second)))
 	var trace []string
-	next, seq := uint32(1), 0
+	nextMessage, seq := uint32(1), 0
 	entries := []Entry{}
 	for i := range 10 {
-		d := r.IntN(4)
-		entries = append(entries, Entry{Endpoint: Endpoint(100 + i), Zone: r.IntN(2), Kind: d % 2, Dest: d, State: Ready,
-			Rate: 1 + 9*r.Float64()})
+		d := rng.IntN(4)
+		entries = append(entries, Entry{Endpoint: Endpoint(100 + i), Zone: rng.IntN(2), Kind: d % 2, Dest: d,
+			State: Ready,
+			Rate:  1 + 9*rng.Float64()})
 	}
 	var events []Event
-	first := Event{Kind: EvList, List: ListCached, Entries: entries}
-	c.list(now, first)
-	events = append(events, first)
-	bad := map[int]Outcome{} // destinations out at present
+	firstList := Event{Kind: EvList, List: ListCached, Entries: entries}
+	c.applyList(now, firstList)
+	events = append(events, firstList)
+	failing := map[int]Outcome{} // how attempts end now, by destination; Delivered if absent
 	for step := range steps {
-		for _, a := range p.Step(now, events, nil) {
+		for _, a := range policy.Step(now, events, nil) {
 			trace = append(trace, fmt.Sprintf("%d %+v", now, a))
-			c.action(now, a)
+			c.checkAction(now, a)
 		}
-		c.finish(now)
+		c.checkStep(now)
 		events = nil
-		now = c.until(now, now+5000*(1+Time(r.IntN(20))))
-		if r.IntN(100) == 0 { // a restart: the books of this life are closed, the list may be old
-			if p, err = New(set, seed+uint64(step)); err != nil {
+		now = c.nextEventTime(now, now+5000*(1+Time(rng.IntN(20))))
+		if rng.IntN(100) == 0 { // a restart: the new process knows only the cached list
+			if policy, err = New(settings, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
-			errs, s, re, f := c.errs, c.sends, c.refused, c.failed
-			c = newChecker(set)
-			c.errs, c.sends, c.refused, c.failed = errs, s, re, f
+			violations, sends, refused, failed := c.violations, c.sends, c.refused, c.failed
+			c = newChecker(settings)
+			c.violations, c.sends, c.refused, c.failed = violations, sends, refused, failed
 			e := Event{Kind: EvList, List: ListCached, Entries: entries}
-			c.list(now, e)
+			c.applyList(now, e)
 			events = append(events, e)
 		}
-		if r.IntN(30) == 0 {
-			i := r.IntN(len(entries))
+		if rng.IntN(30) == 0 {
+			i := rng.IntN(len(entries))
 			entries = append([]Entry(nil), entries...)
-			entries[i].State = EndpointState(r.IntN(3))
+			entries[i].State = EndpointState(rng.IntN(3))
 			e := Event{Kind: EvList, List: ListDelta, Entries: entries[i : i+1]}
-			switch r.IntN(4) {
+			switch rng.IntN(4) {
 			case 0:
 				e = Event{Kind: EvList, List: ListFull}
 				for _, x := range entries {
@@ -307,102 +325,107 @@
 				e = Event{Kind: EvList, List: ListFailed}
 			}
 			if e.List == ListFailed {
-				entries[i].State = c.stateOf(entries[i].Endpoint)
+				entries[i].State = c.listedState(entries[i].Endpoint)
 			}
-			c.list(now, e)
+			c.applyList(now, e)
 			events = append(events, e)
 		}
-		if r.IntN(40) == 0 {
-			bad[r.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[r.IntN(5)]
+		if rng.IntN(40) == 0 {
+			failing[rng.IntN(4)] = []Outcome{Errored, TimedOut, ConnectFailed, Rejected, Delivered}[rng.IntN(5)]
 		}
-		for range r.IntN(4) {
-			e := Event{Kind: EvMessage, Message: next, Class: r.IntN(len(set.Classes)), Dest: r.IntN(5), Tenant: r.IntN(3)}
-			if set.Classes[e.Class].InOrder {
-				e.Key = uint64(r.IntN(3))
+		for range rng.IntN(4) {
+			e := Event{Kind: EvMessage, Message: nextMessage, Class: rng.IntN(len(settings.Classes)),
+				Dest:   rng.IntN(5),
+				Tenant: rng.IntN(3)}
+			if settings.Classes[e.Class].InOrder {
+				e.Key = uint64(rng.IntN(3))
 			}
-			e.TimeLeft = Time(float64(set.Classes[e.Class].Deadline) * (0.05 + 0.95*r.Float64()))
+			e.TimeLeft = Time(float64(settings.Classes[e.Class].Deadline) * (0.05 + 0.95*rng.Float64()))
 			seq++
-			next++
-			c.arrive(now, e, seq)
+			nextMessage++
+			c.addMessage(now, e, seq)
 			events = append(events, e)
 		}
-		var still []flight
-		for _, f := range c.flights {
-			if r.IntN(4) != 0 && f.cut > now {
-				still = append(still, f)
+		var inFlight []pendingEvent
+		for _, f := range c.inFlight {
+			if rng.IntN(4) != 0 && f.timeoutAt > now {
+				inFlight = append(inFlight, f)
 				continue
 			}
-			e := Event{Kind: EvOutcome, Message: f.msg, Attempt: f.attempt, Endpoint: f.at, Duration: second / 5}
+			e := Event{Kind: EvOutcome, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint,
+				Duration: second / 5}
 			switch {
-			case f.cut <= now:
+			case f.timeoutAt <= now:
 				e.Outcome = TimedOut
-			case r.IntN(5) == 0:
-				e.Outcome = Outcome(r.IntN(int(outcomeCount)))
+			case rng.IntN(5) == 0:
+				e.Outcome = Outcome(rng.IntN(int(outcomeCount)))
 			default:
-				e.Outcome = bad[c.msgs[f.msg].dest]
+				e.Outcome = failing[c.messages[f.message].dest]
 			}
-			if e.Outcome == Rejected && r.IntN(2) == 0 {
-				e.RetryAfter = Time(r.Int64N(int64(3 * second)))
+			if e.Outcome == Rejected && rng.IntN(2) == 0 {
+				e.RetryAfter = Time(rng.Int64N(int64(3 * second)))
 			}
-			e.Final = c.msgs[f.msg].done || e.Outcome == Delivered
-			if r.IntN(2) == 0 {
-				e.Load = Load{Remaining: r.Float64(), Limit: 10 * r.Float64()}
+			e.Final = c.messages[f.message].ended || e.Outcome == Delivered
+			if rng.IntN(2) == 0 {
+				e.Load = Load{Remaining: rng.Float64(), Limit: 10 * rng.Float64()}
 			}
-			c.resolved(now, e)
+			c.applyOutcome(now, e)
 			events = append(events, e)
-			if r.IntN(20) == 0 { // repeated, and about what was never sent
-				events = append(events, e, Event{Kind: EvOutcome, Message: next + 9, Endpoint: 5})
+			if rng.IntN(20) == 0 { // a duplicate outcome, and one of an unknown message
+				events = append(events, e, Event{Kind: EvOutcome, Message: nextMessage + 9, Endpoint: 5})
 			}
 		}
-		c.flights = still
+		c.inFlight = inFlight
 		for _, ep := range c.probes {
-			events = append(events, Event{Kind: EvProbeResult, Endpoint: ep, Outcome: Outcome(r.IntN(int(outcomeCount)))})
+			events = append(events,
+				Event{Kind: EvProbeResult, Endpoint: ep, Outcome: Outcome(rng.IntN(int(outcomeCount)))})
 		}
 		c.probes = nil
-		if r.IntN(50) == 0 && next > 1 {
-			id := next - 1
-			if m := c.msgs[id]; m != nil && !m.done {
-				m.done = true
+		if rng.IntN(50) == 0 && nextMessage > 1 {
+			id := nextMessage - 1
+			if m := c.messages[id]; m != nil && !m.ended {
+				m.ended = true
 				events = append(events, Event{Kind: EvWithdraw, Message: id})
 			}
 		}
-		var later []flight
-		for _, tm := range c.timers {
-			if tm.due <= now {
+		var timers []pendingEvent
+		for _, timer := range c.timers {
+			if timer.dueAt <= now {
 				events = append(events, Event{Kind: EvTimer})
 			} else {
-				later = append(later, tm)
+				timers = append(timers, timer)
 			}
 		}
-		c.timers = later
+		c.timers = timers
 	}
 	return c, trace
 }
 
-// until is the next moment of the day: a timer or a time-out that comes due is not passed over.
-func (c *checker) until(now, then Time) Time {
-	for _, tm := range c.timers {
-		then = min(then, max(tm.due, now+1))
+// nextEventTime returns the time of the next step: the given one, or that of a timer or a timeout due before it.
+func (c *checker) nextEventTime(now, next Time) Time {
+	for _, timer := range c.timers {
+		next = min(next, max(timer.dueAt, now+1))
 	}
-	for _, f := range c.flights {
-		then = min(then, max(f.cut, now+1))
+	for _, attempt := range c.inFlight {
+		next = min(next, max(attempt.timeoutAt, now+1))
 	}
-	return then
+	return next
 }
 
-func (c *checker) stateOf(e Endpoint) EndpointState {
-	if _, bad := c.badSince[e]; bad {
+// listedState returns the state of an endpoint in the last list applied; a removed one counts as draining.
+func (c *checker) listedState(e Endpoint) EndpointState {
+	if _, bad := c.unusableSince[e]; bad {
 		return Draining
 	}
 	return Ready
 }
 
-// TestRules holds every rule as a property over seeded random legal days.
+// TestRules checks every rule as a property over seeded random scenarios.
 func TestRules(t *testing.T) {
 	var sends, refused, failed int
 	for seed := range uint64(90) {
-		c, _ := play(t, seed, 400)
-		for i, e := range c.errs {
+		c, _ := runRandomScenario(t, seed, 400)
+		for i, e := range c.violations {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, e)
 			}
@@ -410,21 +433,22 @@
 		sends, refused, failed = sends+c.sends, refused+c.refused, failed+c.failed
 	}
 	if sends < 5000 || refused < 100 || failed < 100 {
-		t.Fatalf("the days test nothing: %d sends, %d refused, %d failed", sends, refused, failed)
+		t.Fatalf("got %d sends, %d handed back, %d given up, want at least 5000, 100 and 100 to test the rules",
+			sends, refused, failed)
 	}
 }
 
-// TestSameEventsSameActions: the seed and the events settle every action.
+// TestSameEventsSameActions checks that the seed and the events determine every action.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		_, a := play(t, seed, 300)
-		_, b := play(t, seed, 300)
+		_, a := runRandomScenario(t, seed, 300)
+		_, b := runRandomScenario(t, seed, 300)
 		if len(a) == 0 || len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: got %d actions, then %d, want equal and above 0", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %s against %s", seed, a[i], b[i])
+				t.Fatalf("seed %d: got action %s, then %s", seed, a[i], b[i])
 			}
 		}
 	}
