--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"reflect"
 	"testing"
 )
 
@@ -136,3 +137,64 @@
 		}
 	}
 }
+
+// TestSnapshotEncoding checks the JSON keys and their order: a snapshot is handed to a successor process, and outages
+// are stored in the log, by a program of another version.
+func TestSnapshotEncoding(t *testing.T) {
+	snapshot := Snapshot{
+		Lanes: []LimiterSnapshot{{
+			Dest: 1,
+			Endpoints: []EndpointSnapshot{{
+				Endpoint: 2, RestUntil: 3, Score: 0.25, Need: 1.5, Sick: true, Mute: true,
+				FirstBad: 4, BadAt: 5, GoodAt: 6, GoodSent: 7, OkAt: 8,
+				Budget: BucketSnapshot{At: 9, Tokens: 10.5, Used: true},
+				Lat:    LatencySnapshot{Mean: 11.5, Dev: 12.5, N: 13},
+			}},
+			Bins: [][2]uint32{{14, 15}, {16, 17}}, At: 18, Started: 19, Window: 20.5, HalvedAt: 21, WaitUntil: 22,
+			PauseUntil: 23, Nominal: 24.5, Limit: 25.5, Boost: 26.5,
+			Tokens:  BucketSnapshot{At: 27, Tokens: 28.5, Used: true},
+			FullRun: 29, FullAt: 30,
+			Lat: LatencySnapshot{Mean: 31.5, Dev: 32.5, N: 33},
+		}},
+		Lat:   LatencySnapshot{Mean: 34.5, Dev: 35.5, N: 36},
+		Tight: []float64{0.375, 0.625},
+		Outages: []OutageSnapshot{{Dest: 37, Endpoint: 38, Mute: true, Suspected: true, FirstBad: 39, BadAt: 40,
+			GoodAt: 41, GoodSent: 42}},
+	}
+	requireFieldsSet(t, "Snapshot", reflect.ValueOf(snapshot))
+	const want = `{"Lanes":[{"Dest":1,"Endpoints":[{"Endpoint":2,"RestUntil":3,"Score":0.25,"Need":1.5,"Sick":true,` +
+		`"Mute":true,"FirstBad":4,"BadAt":5,"GoodAt":6,"GoodSent":7,"OkAt":8,"Budget":{"At":9,"Tokens":10.5,` +
+		`"Used":true},"Lat":{"Mean":11.5,"Dev":12.5,"N":13}}],"Bins":[[14,15],[16,17]],"At":18,"Started":19,` +
+		`"Window":20.5,"HalvedAt":21,"WaitUntil":22,"PauseUntil":23,"Nominal":24.5,"Limit":25.5,"Boost":26.5,` +
+		`"Tokens":{"At":27,"Tokens":28.5,"Used":true},"FullRun":29,"FullAt":30,"Lat":{"Mean":31.5,"Dev":32.5,` +
+		`"N":33}}],"Lat":{"Mean":34.5,"Dev":35.5,"N":36},"Tight":[0.375,0.625],"Outages":[{"Dest":37,` +
+		`"Endpoint":38,"Mute":true,"Suspected":true,"FirstBad":39,"BadAt":40,"GoodAt":41,"GoodSent":42}]}`
+	got, err := json.Marshal(snapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(got) != want {
+		t.Errorf("got snapshot\n%s\nwant\n%s", got, want)
+	}
+	var decoded Snapshot
+	if err := json.Unmarshal([]byte(want), &decoded); err != nil || !reflect.DeepEqual(decoded, snapshot) {
+		t.Errorf("got %+v, %v after decoding, want %+v", decoded, err, snapshot)
+	}
+}
+
+// requireFieldsSet fails the test for each field of a value that is zero.
+func requireFieldsSet(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	switch {
+	case v.Kind() == reflect.Struct:
+		for i := range v.NumField() {
+			requireFieldsSet(t, path+"."+v.Type().Field(i).Name, v.Field(i))
+		}
+	case v.IsZero():
+		t.Errorf("%s is zero, want a value in the encoded snapshot", path)
+	case v.Kind() == reflect.Slice:
+		for i := range v.Len() {
+			requireFieldsSet(t, path, v.Index(i))
+		}
+	}
+}
