--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -56,7 +56,7 @@
 	if waits == 0 {
 		t.Error("no wait in force after restoring")
 	}
-	restored.Lanes[0].Endpoints[0].Endpoint = 99 // no longer listed; it must be ignored
+	restored.Limiters[0].Endpoints[0].Endpoint = 99 // no longer listed; it must be ignored
 	newPolicyRunner(t, s, entries...).step(Event{Kind: EvSnapshot, Snapshot: restored})
 }
 
@@ -138,28 +138,28 @@
 	}
 }
 
-// TestSnapshotEncoding checks the JSON keys and their order: a snapshot is handed to a successor process, and outages
-// are stored in the log, by a program of another version.
+// TestSnapshotEncoding checks the JSON keys and their order. A snapshot is handed to a successor process, and outages
+// are stored in the log; the program that reads them may be of another version.
 func TestSnapshotEncoding(t *testing.T) {
 	snapshot := Snapshot{
-		Lanes: []LimiterSnapshot{{
+		Limiters: []LimiterSnapshot{{
 			Dest: 1,
 			Endpoints: []EndpointSnapshot{{
-				Endpoint: 2, RestUntil: 3, Score: 0.25, Need: 1.5, Sick: true, Mute: true,
-				FirstBad: 4, BadAt: 5, GoodAt: 6, GoodSent: 7, OkAt: 8,
-				Budget: BucketSnapshot{At: 9, Tokens: 10.5, Used: true},
-				Lat:    LatencySnapshot{Mean: 11.5, Dev: 12.5, N: 13},
+				Endpoint: 2, BackoffUntil: 3, FailureScore: 0.25, NextCallCost: 1.5, Ejected: true, Silent: true,
+				FirstFailureAt: 4, LastFailureAt: 5, RecoveredAt: 6, RecoveryCallSentAt: 7, LastSuccessAt: 8,
+				Budget:  BucketSnapshot{UpdatedAt: 9, Tokens: 10.5, Initialized: true},
+				Latency: LatencySnapshot{Mean: 11.5, Deviation: 12.5, Samples: 13},
 			}},
-			Bins: [][2]uint32{{14, 15}, {16, 17}}, At: 18, Started: 19, Window: 20.5, HalvedAt: 21, WaitUntil: 22,
-			PauseUntil: 23, Nominal: 24.5, Limit: 25.5, Boost: 26.5,
-			Tokens:  BucketSnapshot{At: 27, Tokens: 28.5, Used: true},
-			FullRun: 29, FullAt: 30,
-			Lat: LatencySnapshot{Mean: 31.5, Dev: 32.5, N: 33},
+			Bins: [][2]uint32{{14, 15}, {16, 17}}, NewestBin: 18, StartedAt: 19, Window: 20.5, HalvedAt: 21,
+			RetryAfterUntil: 22, BackoffUntil: 23, NominalRate: 24.5, ReportedLimit: 25.5, RateFactor: 26.5,
+			Bucket:       BucketSnapshot{UpdatedAt: 27, Tokens: 28.5, Initialized: true},
+			RejectionRun: 29, RejectionRunStart: 30,
+			Latency: LatencySnapshot{Mean: 31.5, Deviation: 32.5, Samples: 33},
 		}},
-		Lat:   LatencySnapshot{Mean: 34.5, Dev: 35.5, N: 36},
-		Tight: []float64{0.375, 0.625},
-		Outages: []OutageSnapshot{{Dest: 37, Endpoint: 38, Mute: true, Suspected: true, FirstBad: 39, BadAt: 40,
-			GoodAt: 41, GoodSent: 42}},
+		Latency:           LatencySnapshot{Mean: 34.5, Deviation: 35.5, Samples: 36},
+		NoConnectionShare: []float64{0.375, 0.625},
+		Outages: []OutageSnapshot{{Dest: 37, Endpoint: 38, Silent: true, Suspected: true, FirstFailureAt: 39,
+			LastFailureAt: 40, RecoveredAt: 41, RecoveryCallSentAt: 42}},
 	}
 	requireFieldsSet(t, "Snapshot", reflect.ValueOf(snapshot))
 	const want = `{"Lanes":[{"Dest":1,"Endpoints":[{"Endpoint":2,"RestUntil":3,"Score":0.25,"Need":1.5,"Sick":true,` +
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -286,8 +286,8 @@
 		return 0
 	}
 	if e.Memory != nil {
-		for i := range e.Memory.Lanes {
-			l := &e.Memory.Lanes[i]
+		for i := range e.Memory.Limiters {
+			l := &e.Memory.Limiters[i]
 			for j := range l.Endpoints {
 				x := &l.Endpoints[j]
 				x.Endpoint = num(x.Endpoint)
@@ -544,7 +544,7 @@
 func (r *Relay) handoverState() *handoverState {
 	e := &handoverState{Log: filepath.Base(r.wal.path), Names: map[decide.Endpoint]string{}, Memory: r.policy.Snapshot(),
 		Waits: map[string]decide.Time{}}
-	for _, l := range e.Memory.Lanes {
+	for _, l := range e.Memory.Limiters {
 		for _, x := range l.Endpoints {
 			e.Names[x.Endpoint], _ = r.directory.Text(membership.Number(x.Endpoint))
 		}
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -27,9 +27,10 @@
 
 // convertOutageTimes converts the times in an outage to another clock.
 func convertOutageTimes(outage decide.OutageSnapshot, convert func(decide.Time) decide.Time) decide.OutageSnapshot {
-	outage.FirstBad, outage.BadAt = convert(outage.FirstBad), convert(outage.BadAt)
-	if outage.GoodAt != 0 {
-		outage.GoodAt, outage.GoodSent = max(convert(outage.GoodAt), 1), convert(outage.GoodSent)
+	outage.FirstFailureAt, outage.LastFailureAt = convert(outage.FirstFailureAt), convert(outage.LastFailureAt)
+	if outage.RecoveredAt != 0 {
+		outage.RecoveredAt, outage.RecoveryCallSentAt = max(convert(outage.RecoveredAt), 1),
+			convert(outage.RecoveryCallSentAt)
 	}
 	return outage
 }
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -40,7 +40,7 @@
 	if len(found) != 1 || found[0].ID != "s-1" || found[0].Outage == nil {
 		t.Fatalf("found %+v", found)
 	}
-	if age := clock.Since(clock.System(), clock.Instant(found[0].Outage.FirstBad)); age < 0 || age > time.Hour {
+	if age := clock.Since(clock.System(), clock.Instant(found[0].Outage.FirstFailureAt)); age < 0 || age > time.Hour {
 		t.Errorf("began %v ago", age)
 	}
 	for _, listed := range []bool{true, false} {
@@ -57,7 +57,7 @@
 		r.step()
 		num := r.named("s-1").num
 		o, known := r.policy.Outage(num)
-		if !known || decide.Time(r.instant(o.FirstBad)) != found[0].Outage.FirstBad || len(r.outages) != 0 {
+		if !known || decide.Time(r.instant(o.FirstFailureAt)) != found[0].Outage.FirstFailureAt || len(r.outages) != 0 {
 			t.Errorf("listed at the start %v: known %v, %+v, want %+v; %d not told", listed, known, o, found[0].Outage, len(r.outages))
 		}
 		r.told(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
@@ -80,7 +80,7 @@
 	}
 	const all = 5000
 	for i := range all {
-		o := &decide.OutageSnapshot{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
+		o := &decide.OutageSnapshot{Silent: true, FirstFailureAt: int64(i) + 1, LastFailureAt: int64(i) + 2}
 		if err := w.append(&record{Kind: recordOutage, ID: fmt.Sprintf("s-%08d", i), Outage: o}, false); err != nil {
 			t.Fatalf("outage %d: %v", i, err)
 		}
@@ -104,7 +104,7 @@
 		if i == len(found)-1 {
 			from = all - 1
 		}
-		if rec.ID != fmt.Sprintf("s-%08d", from) || rec.Outage.BadAt != int64(from)+2 || !rec.Outage.Mute {
+		if rec.ID != fmt.Sprintf("s-%08d", from) || rec.Outage.LastFailureAt != int64(from)+2 || !rec.Outage.Silent {
 			t.Fatalf("outage %d of %d: %+v %+v", i, len(found), rec, rec.Outage)
 		}
 	}
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -79,8 +79,8 @@
 	mustAppend(t, w, &record{Kind: recordAttempt, ID: "doubt", At: clk.Now()})
 	accept("ended", "once")
 	mustAppend(t, w, &record{Kind: recordEnd, ID: "ended", MayHaveRun: true},
-		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageSnapshot{FirstBad: decide.Time(clk.Now()) - 5e6,
-			BadAt: decide.Time(clk.Now())}})
+		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageSnapshot{FirstFailureAt: decide.Time(clk.Now()) - 5e6,
+			LastFailureAt: decide.Time(clk.Now())}})
 }
 
 // A step of the wall clock between two processes changes no deadline, deduplication window or outage.
@@ -100,7 +100,7 @@
 			t.Errorf("step %v: recovered %+v", step, r)
 		}
 		if len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 ||
-			w.outageRecords()[0].Outage.BadAt != decide.Time(acceptedAt) {
+			w.outageRecords()[0].Outage.LastFailureAt != decide.Time(acceptedAt) {
 			t.Errorf("step %v: got %d ended messages and %d outages, want 1 of each and the outage unmoved", step,
 				len(w.endedRecords()), len(w.outageRecords()))
 		}
