--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -89,7 +89,7 @@
 	return float64(c.delivered) / float64(max(c.messages, 1))
 }
 
-// windowShare returns the share of the windows that n of them are.
+// windowShare returns n as a share of all windows.
 func (c *windowCounts) windowShare(n int) float64 { return float64(n) / float64(max(c.windows, 1)) }
 
 // maxColdCalls returns how many calls a recovering destination withstands in an overload time for which the settings
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -258,8 +258,7 @@
 			maxCalls := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
 			if float64(n) > maxCalls+2 { // two calls more, one trial call for each endpoint, allow for chance
 				t.Errorf("outcome %d: got %d calls in the 3 s from %d ms after the outage, want at most %.1f plus 2",
-					o, n,
-					(from-outageEnd)/1000, maxCalls)
+					o, n, (from-outageEnd)/1000, maxCalls)
 			}
 		}
 		if inOutage == 0 || inOutage > 60 || afterRamp < 50 {
@@ -374,8 +373,7 @@
 func TestOverdueCallLeavesWindow(t *testing.T) {
 	s := defaultSettings()
 	s.Classes = append(s.Classes, Class{Name: "non-idempotent", TargetTime: 2 * second, Deadline: 20 * second,
-		Worth:       2,
-		Idempotency: NonIdempotent})
+		Worth: 2, Idempotency: NonIdempotent})
 	r := newPolicyRunner(t, s, readyEntry(1, 1000))
 	l := r.policy.endpoints[1].limiter
 	r.step(r.messageEvent(1, 0))
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -14,8 +14,7 @@
 		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, OverloadTime: 3 * second,
 		Kinds: []decide.DestKind{{MaxBatch: 1}},
 		Classes: []decide.Class{{Name: "order", TargetTime: 2 * second, Deadline: 20 * second, Worth: 1,
-			LateWorth:   0.3,
-			Idempotency: decide.Deduplicated, DedupWindow: 15 * second}},
+			LateWorth: 0.3, Idempotency: decide.Deduplicated, DedupWindow: 15 * second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -193,7 +193,7 @@
 // message arrives for it, and that one which is only idle is.
 func TestNoEvictionDuringWaitOrOutage(t *testing.T) {
 	s := defaultSettings()
-	s.KeepAlive, s.OverloadTime = 0, 900*second // above the wait of 500 s, which else counts as an outage
+	s.KeepAlive, s.OverloadTime = 0, 900*second // a wait of OverloadTime or more counts as an outage
 	p, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/decide/resume_test.go
+++ b/decide/resume_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestInheritedMessages checks that a message which a predecessor process accepted keeps its history: if it may have
-// run, it is sent again only as its class allows, and its attempts are counted further.
+// run, it is sent again only as its class allows, and its attempts count towards its limit.
 func TestInheritedMessages(t *testing.T) {
 	settings := Settings{Relays: 1, Slots: 8, MaxAttempts: 3, Tick: 5000, RatesListed: true, RetryAfter: true,
 		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, OverloadTime: 3 * second,
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -335,8 +335,7 @@
 		}
 		for range rng.IntN(4) {
 			e := Event{Kind: EvMessage, Message: nextMessage, Class: rng.IntN(len(settings.Classes)),
-				Dest:   rng.IntN(5),
-				Tenant: rng.IntN(3)}
+				Dest: rng.IntN(5), Tenant: rng.IntN(3)}
 			if settings.Classes[e.Class].InOrder {
 				e.Key = uint64(rng.IntN(3))
 			}
