--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -377,7 +377,7 @@
 	r := newPolicyRunner(t, s, readyEntry(1, 1000))
 	l := r.policy.endpoints[1].limiter
 	r.step(r.messageEvent(1, 0))
-	silent := r.sends[0]
+	overdueSend := r.sends[0]
 	r.now += second / 10
 	r.step(r.messageEvent(0, 0))
 	if len(r.sends) != 0 {
@@ -395,8 +395,8 @@
 	}
 	l.window = 8
 	r.now += second / 10
-	late := outcomeEvent(silent, TimedOut)
-	r.step(late)
+	overdueOutcome := outcomeEvent(overdueSend, TimedOut)
+	r.step(overdueOutcome)
 	if l.window != 8 || l.inFlight != 1 {
 		t.Errorf("got window %v, %d calls in flight in it after the overdue call ended, want 8 and 1", l.window,
 			l.inFlight)
--- a/decide/retune_test.go
+++ b/decide/retune_test.go
@@ -60,8 +60,8 @@
 	rejection := outcomeEvent(r.sends[0], Rejected)
 	rejection.RetryAfter = 3 * second
 	r.step(rejection)
-	restored := defaultSettings()
-	r.step(Event{Kind: EvSettings, Settings: &restored})
+	reset := defaultSettings()
+	r.step(Event{Kind: EvSettings, Settings: &reset})
 	for until := r.now + 3*second; r.now < until-second/10; r.now += second / 10 {
 		if r.step(Event{Kind: EvTimer}); len(r.sends) != 0 {
 			t.Fatalf("got sends %v before the wait was over, want none", r.sends)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -45,8 +45,8 @@
 	probes          []Endpoint
 	violations      []string
 	sends           int
-	refused         int // messages handed back
-	failed          int // messages given up
+	handedBack      int
+	givenUp         int
 }
 
 func newChecker(s Settings) *checker {
@@ -197,10 +197,10 @@
 			c.violationf(now, "message %d answered after its deadline", a.Message)
 		}
 		if a.Kind == ActFail {
-			c.failed++
+			c.givenUp++
 			return
 		}
-		c.refused++
+		c.handedBack++
 		class := &c.settings.Classes[m.class]
 		open := m.mayHaveRun || m.inFlight
 		if open && (class.Idempotency == NonIdempotent || class.Idempotency == Deduplicated && class.DedupByZone) {
@@ -301,9 +301,9 @@
 			if policy, err = New(settings, seed+uint64(step)); err != nil {
 				t.Fatal(err)
 			}
-			violations, sends, refused, failed := c.violations, c.sends, c.refused, c.failed
+			violations, sends, handedBack, givenUp := c.violations, c.sends, c.handedBack, c.givenUp
 			c = newChecker(settings)
-			c.violations, c.sends, c.refused, c.failed = violations, sends, refused, failed
+			c.violations, c.sends, c.handedBack, c.givenUp = violations, sends, handedBack, givenUp
 			e := Event{Kind: EvList, List: ListCached, Entries: entries}
 			c.applyList(now, e)
 			events = append(events, e)
@@ -421,7 +421,7 @@
 
 // TestRules checks every rule as a property over seeded random scenarios.
 func TestRules(t *testing.T) {
-	var sends, refused, failed int
+	var sends, handedBack, givenUp int
 	for seed := range uint64(90) {
 		c, _ := runRandomScenario(t, seed, 400)
 		for i, e := range c.violations {
@@ -429,11 +429,11 @@
 				t.Errorf("seed %d: %s", seed, e)
 			}
 		}
-		sends, refused, failed = sends+c.sends, refused+c.refused, failed+c.failed
+		sends, handedBack, givenUp = sends+c.sends, handedBack+c.handedBack, givenUp+c.givenUp
 	}
-	if sends < 5000 || refused < 100 || failed < 100 {
+	if sends < 5000 || handedBack < 100 || givenUp < 100 {
 		t.Fatalf("got %d sends, %d handed back, %d given up, want at least 5000, 100 and 100 to test the rules",
-			sends, refused, failed)
+			sends, handedBack, givenUp)
 	}
 }
 
