--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -296,8 +296,8 @@
 		return 0
 	}
 	if state.Memory != nil {
-		for i := range state.Memory.Lanes {
-			lane := &state.Memory.Lanes[i]
+		for i := range state.Memory.Limiters {
+			lane := &state.Memory.Limiters[i]
 			for j := range lane.Endpoints {
 				entry := &lane.Endpoints[j]
 				entry.Endpoint = currentNum(entry.Endpoint)
@@ -562,7 +562,7 @@
 	state := &handoverState{LogName: filepath.Base(r.wal.path), EndpointIDs: map[decide.Endpoint]string{},
 		Memory: r.policy.Snapshot(),
 		Waits:  map[string]decide.Time{}}
-	for _, lane := range state.Memory.Lanes {
+	for _, lane := range state.Memory.Limiters {
 		for _, memory := range lane.Endpoints {
 			state.EndpointIDs[memory.Endpoint], _ = r.directory.Text(membership.Number(memory.Endpoint))
 		}
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -41,7 +41,7 @@
 	if len(found) != 1 || found[0].ID != "s-1" || found[0].Outage == nil {
 		t.Fatalf("outages in the log: got %+v, want one of s-1", found)
 	}
-	if age := clock.Since(clock.System(), clock.Instant(found[0].Outage.FirstBad)); age < 0 || age > time.Hour {
+	if age := clock.Since(clock.System(), clock.Instant(found[0].Outage.FirstFailureAt)); age < 0 || age > time.Hour {
 		t.Errorf("outage began %v ago, want between 0 and one hour", age)
 	}
 	for _, listed := range []bool{true, false} {
@@ -58,7 +58,7 @@
 		r.step()
 		num := r.named("s-1").num
 		outage, known := r.policy.Outage(num)
-		if !known || decide.Time(r.instant(outage.FirstBad)) != found[0].Outage.FirstBad || len(r.unlistedOutages) != 0 {
+		if !known || decide.Time(r.instant(outage.FirstFailureAt)) != found[0].Outage.FirstFailureAt || len(r.unlistedOutages) != 0 {
 			t.Errorf("listed at the start %v: got known %v, outage %+v, want %+v; %d not restored",
 				listed, known, outage, found[0].Outage, len(r.unlistedOutages))
 		}
@@ -82,7 +82,7 @@
 	}
 	const total = 5000
 	for i := range total {
-		outage := &decide.OutageSnapshot{Mute: true, FirstBad: int64(i) + 1, BadAt: int64(i) + 2}
+		outage := &decide.OutageSnapshot{Silent: true, FirstFailureAt: int64(i) + 1, LastFailureAt: int64(i) + 2}
 		if err := w.append(&record{Kind: recordOutage, ID: fmt.Sprintf("s-%08d", i), Outage: outage}, false); err != nil {
 			t.Fatalf("outage %d: %v", i, err)
 		}
@@ -106,7 +106,7 @@
 		if i == len(found)-1 {
 			from = total - 1
 		}
-		if rec.ID != fmt.Sprintf("s-%08d", from) || rec.Outage.BadAt != int64(from)+2 || !rec.Outage.Mute {
+		if rec.ID != fmt.Sprintf("s-%08d", from) || rec.Outage.LastFailureAt != int64(from)+2 || !rec.Outage.Silent {
 			t.Fatalf("outage %d of %d: got %+v %+v, want the newest ones that are not over", i, len(found), rec, rec.Outage)
 		}
 	}
