--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -44,7 +44,7 @@
 	t.Helper()
 	received, release := make(chan struct{}), make(chan struct{})
 	ep := newFakeEndpoint(t, nil)
-	ep.then(func(w http.ResponseWriter, r *http.Request, n int) {
+	ep.respondWith(func(w http.ResponseWriter, r *http.Request, n int) {
 		if n > 1 {
 			respond(w, r)
 			return
@@ -56,14 +56,14 @@
 		}
 	})
 	disc := newFakeDiscovery(t, ep.batchMember("s-1", 7))
-	child := startChild(t, testConfig(t, disc, 3))
+	child := startChild(t, writeTestConfig(t, disc, 3))
 	client := dialClient(t, child.env["ROUTER_LISTEN"])
-	if reply := client.put("first", fields(class, 20000, 7), nil); reply != "+OK" {
+	if reply := client.put("first", putFields(class, 20000, 7), nil); reply != "+OK" {
 		t.Fatal(reply)
 	}
 	<-received
 	for _, id := range ids {
-		if reply := client.put(id, fields(class, 20000, 7), []byte("body of "+id)); reply != "+OK" {
+		if reply := client.put(id, putFields(class, 20000, 7), []byte("body of "+id)); reply != "+OK" {
 			t.Fatalf("reply to PUT of message %s: got %s, want +OK", id, reply)
 		}
 	}
@@ -105,14 +105,14 @@
 			io.WriteString(w, `[{"id":"taken","state":"accepted"},{"id":"fault","state":"fault"},{"id":"later","state":"deferred"}]`)
 		}
 	}, "once", "taken", "fault", "later")
-	waitFor(t, "the deferred message", func() bool { return ep.count("later") == 1 })
+	waitFor(t, "the deferred message", func() bool { return ep.callCount("later") == 1 })
 	waitFor(t, "the notice of the failed message", func() bool { n, ok := disc.notice("fault"); return ok && n.Outcome == noticeGivenUp })
 	for _, id := range []string{"taken", "later"} {
 		if n, ok := disc.notice(id); ok {
 			t.Errorf("notice of a message that was not given up: got %+v, want none", n)
 		}
 	}
-	if n := ep.count("taken") + ep.count("fault"); n != 0 {
+	if n := ep.callCount("taken") + ep.callCount("fault"); n != 0 {
 		t.Errorf("further calls with messages that were accepted or may have run: got %d, want 0", n)
 	}
 }
--- a/internal/relay/child_clock_test.go
+++ b/internal/relay/child_clock_test.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	wallClockEnv = "TROUTUSHER_TEST_WALL" // a file with the step of a child's wall clock, in milliseconds
-	bootEnv      = "TROUTUSHER_TEST_BOOT" // the boot id that a child sees
+	wallStepFileEnv = "TROUTUSHER_TEST_WALL" // path of a file with the offset of a child's wall clock, in milliseconds
+	bootIDEnv       = "TROUTUSHER_TEST_BOOT" // the boot id that a child reads; the machine's if empty
 )
 
-// steppedClock is the machine's clock with a wall clock that a test steps.
+// steppedClock is the machine's clock, except that a test can step its wall clock.
 type steppedClock struct {
 	clock.Clock
-	path string
+	stepFile string
 }
 
 // Wall implements clock.Clock.
 func (c steppedClock) Wall() clock.UnixMicro {
-	text, _ := os.ReadFile(c.path)
+	text, _ := os.ReadFile(c.stepFile)
 	ms, _ := strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
 	return c.Clock.Wall() + clock.UnixMicro(ms*1000)
 }
 
-// Boot implements clock.Clock.
+// BootID implements clock.Clock.
 func (c steppedClock) BootID() string {
-	if boot := os.Getenv(bootEnv); boot != "" {
+	if boot := os.Getenv(bootIDEnv); boot != "" {
 		return boot
 	}
 	return c.Clock.BootID()
 }
 
-// childClock is the clock that a child relay tells the time by.
-func childClock() clock.Clock { return steppedClock{clock.System(), os.Getenv(wallClockEnv)} }
+// childClock returns the clock that a child relay uses.
+func childClock() clock.Clock { return steppedClock{clock.System(), os.Getenv(wallStepFileEnv)} }
--- a/internal/relay/client_faults_test.go
+++ b/internal/relay/client_faults_test.go
@@ -21,13 +21,13 @@
 	client := dialClient(t, addr)
 	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
 	io.WriteString(client, strings.Repeat(unknownCommand, maxConsecutiveErrors+1)+
-		putText("m", fields("plain", 8000, 1), nil)+strings.Repeat(unknownCommand, 3))
+		putCommand("m", putFields("plain", 8000, 1), nil)+strings.Repeat(unknownCommand, 3))
 	for i := range maxConsecutiveErrors + 1 {
-		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 			t.Errorf("reply %d: got %q, want an error reply", i, reply)
 		}
 	}
-	if reply := client.line(); reply != "-BUSY" {
+	if reply := client.readLine(); reply != "-BUSY" {
 		t.Errorf("message: got reply %q, want -BUSY", reply)
 	}
 	client.expectCleanEOF()
@@ -41,10 +41,10 @@
 	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
 	for i := range maxConsecutiveErrors + 2 {
 		io.WriteString(client, unknownCommand)
-		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 			t.Fatalf("invalid command %d: got reply %q, want an error reply", i, reply)
 		}
-		if reply := client.put(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil); reply != "+OK" {
+		if reply := client.put(fmt.Sprintf("m%d", i), putFields("plain", 8000, 1), nil); reply != "+OK" {
 			t.Fatalf("message %d: got reply %q, want +OK", i, reply)
 		}
 	}
@@ -60,14 +60,14 @@
 	client := dialClient(t, addr)
 	const unknownCommand = "*1\r\n$3\r\nGET\r\n"
 	io.WriteString(client, strings.Repeat(unknownCommand, maxConsecutiveErrors-1)+
-		putText("refused", fields("plain", 8000, 1), nil)+
-		putText("ahead", fields("plain", 8000, 1), nil))
+		putCommand("refused", putFields("plain", 8000, 1), nil)+
+		putCommand("ahead", putFields("plain", 8000, 1), nil))
 	for i := range maxConsecutiveErrors {
-		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 			t.Errorf("reply %d: got %q, want an error reply", i, reply)
 		}
 	}
-	if reply := client.line(); reply != "-BUSY" {
+	if reply := client.readLine(); reply != "-BUSY" {
 		t.Errorf("message after the last error: got reply %q, want -BUSY", reply)
 	}
 	client.expectCleanEOF()
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -19,7 +19,7 @@
 func serveClients(t *testing.T, submit func(*putRequest)) (*clients, string, chan bool) {
 	t.Helper()
 	written := make(chan bool, 16)
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	server := newClients(parseTestConfig(t), clock.System(), discardLogger(), submit, func(_ *putRequest, ok bool) { written <- ok })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,28 +55,28 @@
 		"no CRLF":             {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":          {"*1\r\n:4\r\n", true},
 		"unknown command":     {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":           {putText("m", fields("plain", 8000, 1), []byte(oversizedBody)), false},
+		"long body":           {putCommand("m", putFields("plain", 8000, 1), []byte(oversizedBody)), false},
 		"few arguments":       {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
-		"unknown class":       {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
-		"no class":            {putText("m", "t=acme,d=1,dest=1", nil), false},
-		"unknown tenant":      {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
-		"no time":             {putText("m", "c=plain,t=acme,dest=1", nil), false},
-		"bad time":            {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
-		"hexadecimal time":    {putText("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
-		"exponent":            {putText("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
-		"signed time":         {putText("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
-		"two points":          {putText("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
-		"excessive time":      {putText("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
-		"signed dest":         {putText("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
-		"huge dest":           {putText("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
-		"negative time":       {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
-		"no destination":      {putText("m", "c=plain,t=acme,d=1", nil), false},
-		"bad destination":     {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
-		"no key":              {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
-		"key in two lines":    {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
-		"id in two lines":     {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
-		"no id":               {putText("", fields("plain", 1, 1), nil), false},
-		"field without value": {putText("m", "c", nil), false},
+		"unknown class":       {putCommand("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":            {putCommand("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":      {putCommand("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":             {putCommand("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":            {putCommand("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"hexadecimal time":    {putCommand("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
+		"exponent":            {putCommand("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
+		"signed time":         {putCommand("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
+		"two points":          {putCommand("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
+		"excessive time":      {putCommand("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
+		"signed dest":         {putCommand("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
+		"huge dest":           {putCommand("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
+		"negative time":       {putCommand("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":      {putCommand("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":     {putCommand("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":              {putCommand("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines":    {putCommand("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":     {putCommand("a\r\nX: b", putFields("plain", 1, 1), nil), false},
+		"no id":               {putCommand("", putFields("plain", 1, 1), nil), false},
+		"field without value": {putCommand("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, addr, _ := serveClients(t, func(request *putRequest) {
@@ -85,17 +85,17 @@
 			})
 			client := dialClient(t, addr)
 			io.WriteString(client, test.text)
-			if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+			if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 				t.Fatalf("got reply %q, want an error reply", reply)
 			}
 			if test.closes {
-				if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+				if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("reading after the error reply: got error %v, want EOF", err)
 				}
 				return
 			}
 			io.WriteString(client, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if reply := client.line() + client.line(); reply != "$2hi" {
+			if reply := client.readLine() + client.readLine(); reply != "$2hi" {
 				t.Errorf("next command: got reply %q, want $2hi", reply)
 			}
 		})
@@ -141,7 +141,7 @@
 	submitted := make(chan *putRequest, 1)
 	_, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
 	client := dialClient(t, addr)
-	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 	request := <-submitted
 	client.Close()
 	if <-written {
@@ -161,10 +161,10 @@
 		request.sendReply(resp.Busy(7))
 	})
 	client := dialClient(t, addr)
-	io.WriteString(client, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+
+	io.WriteString(client, putCommand("a", putFields("plain", 8000, 1), nil)+putCommand("b", putFields("plain", 8000, 1), nil)+
 		"*1\r\n$4\r\nPING\r\n")
 	(<-first).sendReply(resp.OK)
-	if replies := client.line() + client.line() + client.line(); replies != "+OK-BUSY 7+PONG" {
+	if replies := client.readLine() + client.readLine() + client.readLine(); replies != "+OK-BUSY 7+PONG" {
 		t.Errorf("got replies %q, want +OK, -BUSY 7 and +PONG in this order", replies)
 	}
 	for range 2 {
@@ -181,18 +181,18 @@
 	server, addr, _ := serveClients(t, func(request *putRequest) { submitted <- request })
 	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(busy, putText("m", fields("plain", 8000, 1), nil))
+	idle.readLine()
+	io.WriteString(busy, putCommand("m", putFields("plain", 8000, 1), nil))
 	request := <-submitted
 	server.shutDown()
-	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
 	request.sendReply(resp.OK)
-	if reply := busy.line(); reply != "+OK" {
+	if reply := busy.readLine(); reply != "+OK" {
 		t.Errorf("got reply %q, want +OK", reply)
 	}
-	if _, err := busy.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := busy.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the reply: got error %v, want EOF", err)
 	}
 }
@@ -204,13 +204,13 @@
 	server, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
 	client := dialClient(t, addr)
 	io.WriteString(client, "*1\r\n$4\r\nPING\r\n")
-	client.line()
+	client.readLine()
 	server.mu.Lock()
 	for conn := range server.conns {
 		conn.closing = true // as beginClose leaves it where the first byte was read before its deadline was set
 	}
 	server.mu.Unlock()
-	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 	request := <-submitted
 	select {
 	case <-written:
@@ -218,10 +218,10 @@
 	case <-time.After(50 * time.Millisecond): // nothing is expected; a wait that is too short can only miss an error
 	}
 	request.sendReply(resp.OK)
-	if reply := client.line(); reply != "+OK" || !<-written {
+	if reply := client.readLine(); reply != "+OK" || !<-written {
 		t.Errorf("got reply %q, want +OK, reported as written", reply)
 	}
-	if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the reply: got error %v, want EOF", err)
 	}
 }
@@ -236,7 +236,7 @@
 	var opened []*testClient
 	for i := range 3 {
 		client := dialClient(t, addr)
-		if reply := client.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); reply != "+OK" {
+		if reply := client.put("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil); reply != "+OK" {
 			t.Fatal(reply)
 		}
 		opened = append(opened, client)
@@ -253,10 +253,10 @@
 			return true
 		})
 	}
-	if _, err := opened[0].in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := opened[0].reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("oldest connection: got error %v, want EOF", err)
 	}
-	if reply := opened[1].put("x", fields("plain", 8000, 1), nil); reply != "+OK" {
+	if reply := opened[1].put("x", putFields("plain", 8000, 1), nil); reply != "+OK" {
 		t.Error(reply)
 	}
 }
@@ -266,7 +266,7 @@
 // connection that waits for its reply stays open.
 func TestIncompleteCommand(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) { submitted <- request },
+	server := newClients(parseTestConfig(t), clock.System(), discardLogger(), func(request *putRequest) { submitted <- request },
 		func(*putRequest, bool) {})
 	server.firstCommandTimeout, server.commandTimeout, server.idleTimeout =
 		300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
@@ -279,29 +279,29 @@
 	waiting, incomplete, silent := dialClient(t, listener.Addr().String()),
 		dialClient(t, listener.Addr().String()), dialClient(t, listener.Addr().String())
 	incompleteLater, idle := dialClient(t, listener.Addr().String()), dialClient(t, listener.Addr().String())
-	io.WriteString(waiting, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(waiting, putCommand("m", putFields("plain", 8000, 1), nil))
 	request := <-submitted
 	io.WriteString(incomplete, "*5\r\n$7\r\nMSG")
 	for _, client := range []*testClient{incompleteLater, idle} {
 		io.WriteString(client, "*1\r\n$4\r\nPING\r\n")
-		if reply := client.line(); reply != "+PONG" {
+		if reply := client.readLine(); reply != "+PONG" {
 			t.Fatal(reply)
 		}
 	}
 	io.WriteString(incompleteLater, "*5\r\n")
 	for name, client := range map[string]*testClient{"first": incomplete, "later": incompleteLater} {
-		if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 			t.Errorf("incomplete %s command: got reply %q, want an error reply", name, reply)
 		}
 	}
 	for name, client := range map[string]*testClient{"incomplete": incomplete, "later": incompleteLater,
 		"silent": silent, "idle": idle} {
-		if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s connection: got error %v, want EOF", name, err)
 		}
 	}
 	request.sendReply(resp.OK) // after the timeouts of the other connections
-	if reply := waiting.line(); reply != "+OK" {
+	if reply := waiting.readLine(); reply != "+OK" {
 		t.Errorf("waiting connection: got reply %q, want +OK", reply)
 	}
 	waitFor(t, "the connections to be closed", func() bool {
@@ -322,7 +322,7 @@
 	server.mu.Unlock()
 	active := dialClient(t, addr)
 	io.WriteString(active, "*1\r\n$4\r\nPING\r\n")
-	active.line()
+	active.readLine()
 	for range 200 {
 		dialClient(t, addr)
 		server.mu.Lock()
@@ -332,7 +332,7 @@
 		server.mu.Unlock()
 	}
 	io.WriteString(active, "*1\r\n$4\r\nPING\r\n")
-	if reply := active.line(); reply != "+PONG" {
+	if reply := active.readLine(); reply != "+PONG" {
 		t.Fatalf("active client: got reply %q, want +PONG", reply)
 	}
 	waitFor(t, "the silent connections to be closed", func() bool {
@@ -342,7 +342,7 @@
 	})
 	for i := range 8 { // the last one evicts the active client, where that is still connected
 		client := dialClient(t, addr)
-		io.WriteString(client, putText("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil))
+		io.WriteString(client, putCommand("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil))
 		request := <-submitted
 		defer request.sendReply(resp.OK)
 	}
@@ -352,7 +352,7 @@
 		return len(server.conns) == server.maxConns
 	})
 	excess := dialClient(t, addr)
-	if _, err := excess.in.ReadByte(); err == nil {
+	if _, err := excess.reader.ReadByte(); err == nil {
 		t.Error("a connection above the limit was served")
 	}
 }
@@ -364,7 +364,7 @@
 	server.mu.Lock()
 	server.maxConns, server.firstCommandTimeout = 8, 20*time.Second // no connection is closed by its timeout
 	server.mu.Unlock()
-	text := putText("slow", fields("plain", 8000, 1), []byte("body"))
+	text := putCommand("slow", putFields("plain", 8000, 1), []byte("body"))
 	slow := dialClient(t, addr)
 	io.WriteString(slow, text[:1])
 	for i := range 8 {
@@ -392,12 +392,12 @@
 		io.WriteString(slow, text[offset:offset+1])
 		offset++
 		client := dialClient(t, addr)
-		if reply := client.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); reply != "+OK" {
+		if reply := client.put("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil); reply != "+OK" {
 			t.Fatalf("new client beside stalled ones: got reply %q, want +OK", reply)
 		}
 	}
 	io.WriteString(slow, text[offset:])
-	if reply := slow.line(); reply != "+OK" {
+	if reply := slow.readLine(); reply != "+OK" {
 		t.Errorf("slow client: got reply %q, want +OK", reply)
 	}
 }
@@ -410,7 +410,7 @@
 	io.WriteString(client, strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
 	replies := 0
 	for {
-		reply, err := client.in.ReadString('\n')
+		reply, err := client.reader.ReadString('\n')
 		if err != nil {
 			break
 		}
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -19,27 +19,28 @@
 	"troutusher/internal/clock"
 )
 
-// Tests of moments at which two things cross. Each is forced by the other side or by
-// a hook at that very moment, and none waits for a time to pass.
+// These tests cover races between two events. Each brings about one order of the events, through the other side or a
+// hook, instead of sleeping until it is likely.
 
-// hookedConn acts right after something was written to it.
+// hookedConn calls afterWrite after each write.
 type hookedConn struct {
 	*net.TCPConn
-	wrote func()
+	afterWrite func()
 }
 
 func (c *hookedConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	c.wrote()
+	c.afterWrite()
 	return n, err
 }
 
-// batchTaker answers calls with several messages, or one, and hands on their ids.
-func batchTaker(t *testing.T) (addr string, ids chan []string) {
+// acceptingEndpoint starts an endpoint that accepts all messages of each call. It sends the ids of each call's
+// messages on ids.
+func acceptingEndpoint(t *testing.T) (addr string, ids chan []string) {
 	ids = make(chan []string, 8)
-	return rawEndpoint(t, func(c net.Conn) {
-		for in := bufio.NewReader(c); ; {
-			req, err := http.ReadRequest(in)
+	return rawEndpoint(t, func(conn net.Conn) {
+		for reader := bufio.NewReader(conn); ; {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -49,291 +50,305 @@
 			}
 			if req.URL.Path == callPath {
 				ids <- []string{req.Header.Get("X-Request-ID")}
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
-			got, _ := decodeBatch(t, body)
-			ids <- got
-			text := "["
-			for i, id := range got {
+			batch, _ := decodeBatch(t, body)
+			ids <- batch
+			response := "["
+			for i, id := range batch {
 				if i > 0 {
-					text += ","
+					response += ","
 				}
-				text += `{"id":"` + id + `","state":"accepted"}`
+				response += `{"id":"` + id + `","state":"accepted"}`
 			}
-			text += "]"
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
+			response += "]"
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(response))+"\r\n\r\n"+response)
 		}
 	}), ids
 }
 
-// A connection that comes up when the time of one of a call's messages is over carries
-// the others alone: that one may have had its final answer by then, or another call.
-func TestLateConnectionLeavesOutWhatIsOver(t *testing.T) {
-	addr, ids := batchTaker(t)
-	h := testPool(t).forHost(addr)
+// TestLateConnectionOmitsExpiredMessages: when a connection is established after the deadline of one of a call's
+// messages, the call is sent with the others only. The message may have ended by then, or may be in another call.
+func TestLateConnectionOmitsExpiredMessages(t *testing.T) {
+	addr, ids := acceptingEndpoint(t)
+	host := testPool(t).forHost(addr)
 	release := make(chan struct{})
-	h.dial = func(_ context.Context, addr string) (net.Conn, error) {
+	host.dial = func(_ context.Context, addr string) (net.Conn, error) {
 		<-release
 		return net.Dial("tcp", addr)
 	}
-	short, off := &message{num: 1}, &message{num: 2}
-	parts := []callItem{{message: &message{num: 3}, rec: &record{ID: "long"}, timeout: testLimit},
-		{message: off, rec: &record{ID: "off"}, timeout: testLimit}, {message: short, rec: &record{ID: "short"}, timeout: time.Millisecond}}
-	c := newTestCall()
-	told, done := make(chan callResult, 4), make(chan struct{})
+	short, cancelled := &message{num: 1}, &message{num: 2}
+	items := []callItem{{message: &message{num: 3}, rec: &record{ID: "long"}, timeout: testLimit},
+		{message: cancelled, rec: &record{ID: "cancelled"}, timeout: testLimit},
+		{message: short, rec: &record{ID: "short"}, timeout: time.Millisecond}}
+	testCall := newTestCall()
+	results, done := make(chan callResult, 4), make(chan struct{})
 	go func() {
 		defer close(done)
-		c.run(h, parts, nil, func(m *message, o callResult) {
+		testCall.run(host, items, nil, func(m *message, result callResult) {
 			if m == short {
-				if o.outcome != decide.NotSent {
-					t.Errorf("the short one, which never left: %+v", o)
+				if result.outcome != decide.NotSent {
+					t.Errorf("expired message: got %+v, want outcome NotSent", result)
 				}
-				if !c.removeMessage(off) { // as the policy does that calls it off
-					t.Error("not in time, before there is a connection")
+				if !testCall.removeMessage(cancelled) { // as when the policy cancels its attempt
+					t.Error("removing a message before there is a connection: got false, want true")
 				}
 				close(release)
 				return
 			}
-			told <- o
+			results <- result
 		})
 	}()
 	<-done
-	if o := <-told; o.outcome != decide.Delivered || o.status != http.StatusOK {
-		t.Errorf("the call: %+v", o)
+	if result := <-results; result.outcome != decide.Delivered || result.status != http.StatusOK {
+		t.Errorf("the call: got %+v, want outcome Delivered and status 200", result)
 	}
 	if got := <-ids; !slices.Equal(got, []string{"long"}) {
-		t.Errorf("in the call: %v", got)
+		t.Errorf("messages in the call: got %v, want [long]", got)
 	}
-	if len(told)+len(ids) > 0 {
-		t.Error("more than one call, or outcome")
+	if len(results)+len(ids) > 0 {
+		t.Error("got more than one call or more than one result of it, want one each")
 	}
-	if c.removeMessage(parts[0].message) {
-		t.Error("taken out of a call that is written")
+	if testCall.removeMessage(items[0].message) {
+		t.Error("removing a message from a call that is written: got true, want false")
 	}
 }
 
-// The same between the first bytes of a call and its last one: what was written so
-// far is given up, and the rest goes by another connection.
-func TestOverBetweenFirstAndLastByte(t *testing.T) {
-	addr, ids := batchTaker(t)
-	h := testPool(t).forHost(addr)
-	c := newTestCall()
-	over := &message{num: 1}
+// TestMessageEndsWhileCallIsWritten: when a message is removed between the first and the last byte of its call, the
+// call is abandoned, and its other messages are sent over another connection.
+func TestMessageEndsWhileCallIsWritten(t *testing.T) {
+	addr, ids := acceptingEndpoint(t)
+	host := testPool(t).forHost(addr)
+	testCall := newTestCall()
+	ended := &message{num: 1}
 	dials := 0
-	h.dial = func(_ context.Context, addr string) (net.Conn, error) {
+	host.dial = func(_ context.Context, addr string) (net.Conn, error) {
 		conn, err := net.Dial("tcp", addr)
 		if dials++; err != nil || dials > 1 {
 			return conn, err
 		}
 		return &hookedConn{conn.(*net.TCPConn), func() {
-			if !c.removeMessage(over) {
-				t.Error("the last byte is not written yet")
+			if !testCall.removeMessage(ended) {
+				t.Error("removing a message before the last byte is written: got false, want true")
 			}
 		}}, nil
 	}
-	parts := []callItem{{message: over, rec: &record{ID: "over"}, timeout: testLimit}, {message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit},
+	items := []callItem{{message: ended, rec: &record{ID: "ended"}, timeout: testLimit},
+		{message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit},
 		{message: &message{num: 3}, rec: &record{ID: "b"}, timeout: testLimit}}
-	told := make(chan callResult, 1)
-	c.run(h, parts, nil, func(_ *message, o callResult) { told <- o })
-	if o := <-told; o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Delivered || len(o.itemResults) != 2 {
-		t.Errorf("the call: %+v", o)
+	results := make(chan callResult, 1)
+	testCall.run(host, items, nil, func(_ *message, result callResult) { results <- result })
+	if result := <-results; result.itemResults["a"].outcome != decide.Delivered ||
+		result.itemResults["b"].outcome != decide.Delivered || len(result.itemResults) != 2 {
+		t.Errorf("the call: got %+v, want a and b delivered and no other results", result)
 	}
 	if got := <-ids; !slices.Equal(got, []string{"a", "b"}) || len(ids) > 0 {
-		t.Errorf("in the call: %v", got)
+		t.Errorf("messages in the call: got %v, want [a b], and no other call", got)
 	}
-	// Where it is the only one nothing goes out at all.
-	c, dials = newTestCall(), 0
-	told = make(chan callResult, 1)
-	c.run(h, parts[:1], nil, func(_ *message, o callResult) { told <- o })
-	if o := <-told; o.outcome != decide.NotSent || len(ids) > 0 {
-		t.Errorf("alone: %+v", o)
+	// If the removed message is the only one of its call, nothing is sent.
+	testCall, dials = newTestCall(), 0
+	results = make(chan callResult, 1)
+	testCall.run(host, items[:1], nil, func(_ *message, result callResult) { results <- result })
+	if result := <-results; result.outcome != decide.NotSent || len(ids) > 0 {
+		t.Errorf("call with the removed message only: got %+v, want outcome NotSent and nothing sent", result)
 	}
 }
 
-// A message that ends while its call waits for a connection is out of the call before
-// anybody hears of the end.
-func TestEndTakesOutOfTheCall(t *testing.T) {
+// TestEndedMessageIsRemovedFromCall: a message that ends while its call waits for a connection is removed from the
+// call before its end is reported.
+func TestEndedMessageIsRemovedFromCall(t *testing.T) {
 	r := testRelay(t)
-	r.wal, r.notices = &wal{queue: newMailbox[walOp]()}, newNotices("127.0.0.1:1", clock.System(), quietLog(), nil)
+	r.wal, r.notices = &wal{queue: newMailbox[walOp]()},
+		newNotices("127.0.0.1:1", clock.System(), discardLogger(), nil)
 	m := r.newMessage(&record{ID: "m", Class: "plain"})
 	m.acknowledged = true
 	m.call = newTestCall()
 	m.call.msgs = []*message{m}
 	r.handleFinalAction(&decide.Action{Kind: decide.ActRefuse, Message: m.num}, noticeHandedBack)
 	if m.call.commitLastByte([]callItem{{message: m}}, r.clock.Now()) {
-		t.Error("its call may still be written")
+		t.Error("committing the last byte of a call whose only message has ended: got true, want false")
 	}
 }
 
-// The connection of a call that is given up ends before anybody hears of it: the next
-// attempt would go out beside a call that its endpoint still holds to be wanted.
-func TestCallEndsBeforeItsOutcomeIsTold(t *testing.T) {
-	for name, answer := range map[string]string{"silent": "", "no answer at all": "nonsense\r\n\r\n",
-		"never ending": "HTTP/1.1 500 Internal Server Error\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"} {
+// TestConnectionIsClosedBeforeOutcomeIsReported: when a call fails without a complete response, its connection is
+// closed before the outcome is reported. Otherwise the next attempt could be sent while the endpoint still works on
+// this call.
+func TestConnectionIsClosedBeforeOutcomeIsReported(t *testing.T) {
+	for name, response := range map[string]string{"silent": "", "invalid response": "nonsense\r\n\r\n",
+		"incomplete response": "HTTP/1.1 500 Internal Server Error\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"} {
 		t.Run(name, func(t *testing.T) {
-			gone := make(chan struct{})
-			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
-				in := bufio.NewReader(c)
-				if readCall(in) {
-					io.WriteString(c, answer)
-					in.ReadByte() // until the caller closes
-					close(gone)
+			closed := make(chan struct{})
+			host := testPool(t).forHost(rawEndpoint(t, func(conn net.Conn) {
+				reader := bufio.NewReader(conn)
+				if readCall(reader) {
+					io.WriteString(conn, response)
+					reader.ReadByte() // until the caller closes
+					close(closed)
 				}
 			}))
-			limit := testLimit
-			if answer == "" {
-				limit = 50 * time.Millisecond
+			timeout := testLimit
+			if response == "" {
+				timeout = 50 * time.Millisecond
 			}
-			told := 0
-			newTestCall().run(h, []callItem{{rec: &record{ID: "m"}, timeout: limit}}, nil, func(_ *message, o callResult) {
-				told++
-				if o.outcome != decide.TimedOut && o.outcome != decide.Errored {
-					t.Errorf("got %+v", o)
-				}
-				select {
-				case <-gone:
-				case <-time.After(testLimit):
-					t.Error("told while the connection is open")
-				}
-			})
-			if told != 1 {
-				t.Errorf("told %d times", told)
+			reports := 0
+			newTestCall().run(host, []callItem{{rec: &record{ID: "m"}, timeout: timeout}}, nil,
+				func(_ *message, result callResult) {
+					reports++
+					if result.outcome != decide.TimedOut && result.outcome != decide.Errored {
+						t.Errorf("got %+v, want outcome TimedOut or Errored", result)
+					}
+					select {
+					case <-closed:
+					case <-time.After(testLimit):
+						t.Error("the outcome was reported while the connection was open, want it closed before")
+					}
+				})
+			if reports != 1 {
+				t.Errorf("reported outcomes: got %d, want 1", reports)
 			}
 		})
 	}
 }
 
-// A refusal that ends its new connection and brings no report is one for want of a
-// place; on a connection that was there before, or with a report, it is not.
-func TestRefusedForWantOfAConnection(t *testing.T) {
-	for _, x := range []struct {
+// TestRefusedForLackOfConnections: a 503 that closes a new connection and reports no load means that the endpoint
+// accepts no more connections. On a connection that was used before, or with a load report, it does not.
+func TestRefusedForLackOfConnections(t *testing.T) {
+	for _, test := range []struct {
 		head string
 		used bool
 		want bool
-	}{{"503 Service Unavailable\r\nConnection: close\r\n", false, true}, {"503 Service Unavailable\r\nConnection: close\r\n", true, false},
-		{"503 Service Unavailable\r\n", false, false}, {"503 Service Unavailable\r\nConnection: close\r\nX-Server-Load: x0=0,x1=3\r\n", false, false},
+	}{{"503 Service Unavailable\r\nConnection: close\r\n", false, true},
+		{"503 Service Unavailable\r\nConnection: close\r\n", true, false},
+		{"503 Service Unavailable\r\n", false, false},
+		{"503 Service Unavailable\r\nConnection: close\r\nX-Server-Load: x0=0,x1=3\r\n", false, false},
 		{"503 Service Unavailable\r\nConnection: close\r\nSlots-Taken: 1\r\n", false, false},
 		{"429 Too Many Requests\r\nConnection: close\r\nRetry-After: 1\r\n", false, false}} {
-		h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
-			in := bufio.NewReader(c)
-			if x.used && readCall(in) {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		host := testPool(t).forHost(rawEndpoint(t, func(conn net.Conn) {
+			reader := bufio.NewReader(conn)
+			if test.used && readCall(reader) {
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
-			if readCall(in) {
-				io.WriteString(c, "HTTP/1.1 "+x.head+"Content-Length: 0\r\n\r\n")
+			if readCall(reader) {
+				io.WriteString(conn, "HTTP/1.1 "+test.head+"Content-Length: 0\r\n\r\n")
 			}
 		}))
-		if x.used {
-			newTestCall().runForResult(t, h, &record{ID: "before"}, testLimit)
-			waitReusable(h)
+		if test.used {
+			newTestCall().runForResult(t, host, &record{ID: "before"}, testLimit)
+			waitReusable(host)
 		}
-		if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.tooManyConns != x.want {
-			t.Errorf("%q, connection used before %v: %+v", x.head, x.used, o)
+		if result := newTestCall().runForResult(t, host, &record{ID: "m"},
+			testLimit); result.tooManyConns != test.want {
+			t.Errorf("%q, connection used before %v: got %+v, want the other value of tooManyConns",
+				test.head, test.used, result)
 		}
 	}
 }
 
-// What a restart finds taken on and untried gets its call: where its destination takes
-// it, turns it away for a while, tells to wait, or was failing, and with little time.
-func TestUntriedGetsItsCallAfterARestart(t *testing.T) {
-	turned := func(code int, retry string) func(http.ResponseWriter, *http.Request, int) {
+// TestUntriedMessagesAreCalledAfterRestart: each message that a restart finds accepted without an attempt gets a call,
+// also if little time is left, and if its destination refuses the first calls, asks to wait, or fails.
+func TestUntriedMessagesAreCalledAfterRestart(t *testing.T) {
+	rejectThree := func(code int, retryAfter string) func(http.ResponseWriter, *http.Request, int) {
 		return func(w http.ResponseWriter, _ *http.Request, n int) {
 			if n <= 3 {
-				w.Header().Set("Retry-After", retry)
+				w.Header().Set("Retry-After", retryAfter)
 				w.WriteHeader(code)
 			}
 		}
 	}
-	for name, answer := range map[string]func(http.ResponseWriter, *http.Request, int){"takes": nil,
-		"full": turned(503, ""), "waits": turned(429, "0.3"), "failing": turned(500, "")} {
+	for name, respond := range map[string]func(http.ResponseWriter, *http.Request, int){"accepts": nil,
+		"full": rejectThree(503, ""), "throttles": rejectThree(429, "0.3"), "fails": rejectThree(500, "")} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			disc := newFakeDiscovery(t, Member{ID: "s-0", HostPort: "127.0.0.1:1", Cell: 5, Phase: phaseDraining})
-			env := testConfig(t, disc, 3)
-			c := startChild(t, env)
-			cl := dialClient(t, env["ROUTER_LISTEN"])
+			discovery := newFakeDiscovery(t, Member{ID: "s-0", HostPort: "127.0.0.1:1", Cell: 5, Phase: phaseDraining})
+			env := writeTestConfig(t, discovery, 3)
+			process := startChild(t, env)
+			client := dialClient(t, env["ROUTER_LISTEN"])
 			var ids []string
 			for i := range 12 {
-				id, left := "m"+strconv.Itoa(i), 20000
+				id, deadlineMS := "m"+strconv.Itoa(i), 20000
 				if i >= 9 {
-					left = 12000
+					deadlineMS = 12000
 				}
-				if s := cl.put(id, fields("plain", left, 5), nil); s != "+OK" { // nobody serves 5
-					t.Fatal(s)
+				// No endpoint serves destination 5.
+				if reply := client.put(id, putFields("plain", deadlineMS, 5), nil); reply != "+OK" {
+					t.Fatal(reply)
 				}
 				ids = append(ids, id)
 			}
-			c.kill()
-			ep := newFakeEndpoint(t, answer)
-			disc.set(func(d *fakeDiscovery) { d.list.Members = []Member{ep.member("s-1", 5)} })
+			process.kill()
+			endpoint := newFakeEndpoint(t, respond)
+			discovery.update(func(d *fakeDiscovery) { d.list.Members = []Member{endpoint.member("s-1", 5)} })
 			startChild(t, env)
-			cl = dialClient(t, env["ROUTER_LISTEN"])
-			for i := range 30 { // what is new does not take their turns
-				cl.put("n"+strconv.Itoa(i), fields("plain", 20000, 5), nil)
+			client = dialClient(t, env["ROUTER_LISTEN"])
+			for i := range 30 { // new messages must not take the turns of the recovered ones
+				client.put("n"+strconv.Itoa(i), putFields("plain", 20000, 5), nil)
 			}
 			for _, id := range ids {
-				waitFor(t, "a call of "+id, func() bool { return ep.count(id) > 0 })
+				waitFor(t, "a call of "+id, func() bool { return endpoint.callCount(id) > 0 })
 			}
 		})
 	}
 }
 
-// A planned end waits for what is still owed: the rest of a request that was half
-// written when SIGTERM came, its answer, and the notices that have not arrived.
-func TestEndWaitsForWhatIsOwed(t *testing.T) {
-	disc := newFakeDiscovery(t)
-	disc.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
-	env := testConfig(t, disc, 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("short", fields("plain", 300, 9), nil); s != "+OK" {
-		t.Fatal(s)
+// TestShutdownWaitsForRepliesAndNotices: a shutdown waits for the rest of a request that was half written at SIGTERM,
+// for the reply to it, and for notices that discovery has not confirmed.
+func TestShutdownWaitsForRepliesAndNotices(t *testing.T) {
+	discovery := newFakeDiscovery(t)
+	discovery.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusInternalServerError })
+	env := writeTestConfig(t, discovery, 3)
+	process := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if reply := client.put("short", putFields("plain", 300, 9), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
-	logged := func(what string) bool {
+	logContains := func(recordText string) bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
-		return strings.Contains(string(text), what)
+		return strings.Contains(string(text), recordText)
 	}
-	waitFor(t, "the end of the short one", func() bool { return logged(`"kind":"ending","id":"short"`) })
-	half := putText("half", fields("plain", 20000, 9), []byte("body"))
-	io.WriteString(cl, half[:len(half)/2])
-	io.WriteString(dialClient(t, env["ROUTER_LISTEN"]), half[:1])
-	c.ready(t) // it has read what came before
-	c.cmd.Process.Signal(syscall.SIGTERM)
-	waitFor(t, "the listener's end", func() bool {
+	waitFor(t, "the end of message short in the log", func() bool {
+		return logContains(`"kind":"ending","id":"short"`)
+	})
+	command := putCommand("half", putFields("plain", 20000, 9), []byte("body"))
+	io.WriteString(client, command[:len(command)/2])
+	io.WriteString(dialClient(t, env["ROUTER_LISTEN"]), command[:1])
+	process.waitReady(t) // by then it has read what was written before
+	process.cmd.Process.Signal(syscall.SIGTERM)
+	waitFor(t, "the listener to be closed", func() bool {
 		conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
 		if err == nil {
 			conn.Close()
 		}
 		return err != nil
 	})
-	io.WriteString(cl, half[len(half)/2:])
-	if s := cl.line(); !strings.HasPrefix(s, "-BUSY ") {
-		t.Errorf("a request that the end has crossed is answered %q", s)
+	io.WriteString(client, command[len(command)/2:])
+	if reply := client.readLine(); !strings.HasPrefix(reply, "-BUSY ") {
+		t.Errorf("request completed during the shutdown: got reply %q, want -BUSY", reply)
 	}
-	disc.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
-	if err := c.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+	discovery.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusNoContent })
+	if err := process.cmd.Wait(); err != nil {
+		t.Errorf("exit: got error %v, want none", err)
 	}
-	if _, ok := disc.notice("short"); !ok || !logged(`"kind":"end","id":"short"`) {
-		t.Error("ended with a notice that has not arrived")
+	if _, ok := discovery.notice("short"); !ok || !logContains(`"kind":"end","id":"short"`) {
+		t.Error("after the exit: got no notice or no record of its confirmation, want both")
 	}
 }
 
-// A message keeps the terms it was taken on under, by name, through a restart whose
-// settings number everything anew: its tenant and the floor of an attempt that may
-// have run move to other places, and its class is no more.
-func TestReplayGoesByNames(t *testing.T) {
-	settings := func(classes, tenants, floors string) []byte {
-		text := strings.Replace(testSettings, `"localities":["a","b"]`, `"localities":[`+floors+`]`, 1)
+// TestRecoveryResolvesNames: a recovered message keeps the rules under which it was accepted when the new settings
+// number classes, tenants and localities differently. Its tenant and the locality of the attempt that may have run are
+// found by name at their new positions, and its class no longer exists.
+func TestRecoveryResolvesNames(t *testing.T) {
+	settings := func(classes, tenants, localities string) []byte {
+		text := strings.Replace(testSettings, `"localities":["a","b"]`, `"localities":[`+localities+`]`, 1)
 		text = strings.Replace(text, `[{"name":"acme","quota_per_s":1000,"share":1}]`, `[`+tenants+`]`, 1)
 		if classes != "" {
 			from, to := strings.Index(text, `"classes":[`), strings.Index(text, `"discovery"`)
 			text = text[:from] + `"classes":[` + classes + `],` + text[to:]
 		}
-		return []byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":` + text + `}`)
+		return []byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":` +
+			text + `}`)
 	}
-	start := func(text []byte) *Relay {
+	newRelay := func(text []byte) *Relay {
 		cfg, err := parseConfig(text, func(string) string { return "" }, false)
 		if err != nil {
 			t.Fatal(err)
@@ -343,33 +358,37 @@
 		return r
 	}
 	acme, other := `{"name":"acme","quota_per_s":1000,"share":1}`, `{"name":"other","quota_per_s":1,"share":1}`
-	before := start(settings("", acme, `"a","b"`))
+	before := newRelay(settings("", acme, `"a","b"`))
 	keyed := before.cfg.Policy.Classes[before.cfg.classes["keyed"]]
-	before.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Locality: "b", Flavor: "k", Cell: 7, Phase: phaseUp}}})
-	rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Rules: &keyed, MaxAttempts: 3,
-		Deadline: before.clock.Now().Add(testLimit)}
+	before.told(t, &List{Complete: true, Members: []Member{
+		{ID: "s-1", HostPort: "127.0.0.1:1", Locality: "b", Flavor: "k", Cell: 7, Phase: phaseUp}}})
+	rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7,
+		Rules: &keyed, MaxAttempts: 3, Deadline: before.clock.Now().Add(testLimit)}
 	rec.update(&record{Kind: recordAttempt, At: before.clock.Now(), ZoneName: before.named("s-1").zone})
 	text, err := rec.encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for floors, in := range map[string]int{`"b","a"`: 0, `"x","y","b"`: 2, `"a"`: -2} {
-		after := start(settings(`{"deadline_us":9000000,"dedup_window_us":0,"group":"all","late_worth":0.1,"name":"new","repeat":"retryable","target_us":1,"worth":9}`,
-			other+","+acme, floors))
-		again, _ := decodeRecord(text)
-		again.markInFlightInDoubt()
-		after.restoreMessages([]*record{again}, nil)
-		e := after.policyEvents[len(after.policyEvents)-1]
-		if e.MayHaveRunZone != in || e.Tenant != 1 || e.OriginalClass.Name != "keyed" || *e.OriginalClass != keyed || e.OriginalMaxAttempts != 3 || e.Attempts != 1 || e.MayHaveRunAt == 0 {
-			t.Errorf("floors %s: %+v, rules %+v", floors, e, e.OriginalClass)
+	for localities, wantZone := range map[string]int{`"b","a"`: 0, `"x","y","b"`: 2, `"a"`: -2} {
+		after := newRelay(settings(`{"deadline_us":9000000,"dedup_window_us":0,"group":"all","late_worth":0.1,"name":"new","repeat":"retryable","target_us":1,"worth":9}`,
+			other+","+acme, localities))
+		recovered, _ := decodeRecord(text)
+		recovered.markInFlightInDoubt()
+		after.restoreMessages([]*record{recovered}, nil)
+		restored := after.policyEvents[len(after.policyEvents)-1]
+		if restored.MayHaveRunZone != wantZone || restored.Tenant != 1 ||
+			restored.OriginalClass.Name != "keyed" || *restored.OriginalClass != keyed ||
+			restored.OriginalMaxAttempts != 3 || restored.Attempts != 1 || restored.MayHaveRunAt == 0 {
+			t.Errorf("localities %s: got %+v with rules %+v, want rules, attempts, tenant and zone of the record",
+				localities, restored, restored.OriginalClass)
 		}
 	}
 }
 
-// An answer that lands as its message is given up changes nothing any more: what was
-// told first stands, and the call gives its slot back once.
-func TestAnswerAsTheCallIsGivenUp(t *testing.T) {
-	for _, late := range []decide.Outcome{decide.Delivered, decide.Errored} {
+// TestResponseAfterCallTimedOut: a response that arrives when the call has been reported as timed out changes nothing.
+// The first outcome stands, and the call frees its slot once.
+func TestResponseAfterCallTimedOut(t *testing.T) {
+	for _, lateOutcome := range []decide.Outcome{decide.Delivered, decide.Errored} {
 		r := testRelay(t)
 		r.wal = &wal{queue: newMailbox[walOp]()}
 		c := newTestCall()
@@ -379,48 +398,51 @@
 		m.acknowledged, m.attempts, m.call = true, 1, c
 		c.msgs, c.unfinished = []*message{m}, 1
 		r.handleCallResult(c, m, &callResult{outcome: decide.TimedOut, err: context.DeadlineExceeded})
-		r.handleCallResult(c, nil, &callResult{outcome: late, settled: late == decide.Delivered, status: 200})
-		if len(r.policyEvents) != 1 || r.policyEvents[0].Outcome != decide.TimedOut || r.callsInFlight != 0 || len(c.ep.calls) != 0 || m.ended {
-			t.Errorf("%d events, %d calls, over %v", len(r.policyEvents), r.callsInFlight, m.ended)
+		r.handleCallResult(c, nil,
+			&callResult{outcome: lateOutcome, settled: lateOutcome == decide.Delivered, status: 200})
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Outcome != decide.TimedOut ||
+			r.callsInFlight != 0 || len(c.ep.calls) != 0 || m.ended {
+			t.Errorf("got %d events, %d calls in flight, message ended %v, want 1 event (TimedOut), no call, not ended",
+				len(r.policyEvents), r.callsInFlight, m.ended)
 		}
 		if ops := r.wal.queue.takeAll(nil); len(ops) != 1 || !ops[0].rec.MayHaveRun {
-			t.Errorf("logged %d records", len(ops))
+			t.Errorf("logged records: got %d, want 1, which says that the message may have run", len(ops))
 		}
 	}
 }
 
-// A client that sends a burst ahead of its answers and goes leaves nothing behind that
-// is held for it, and each message that was taken on has its one end.
-func TestBurstAndGone(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t, ep.member("s-1", 7))
-	env := testConfig(t, disc, 3)
+// TestClientLeavesAfterBurst: when a client pipelines messages and disconnects before the replies, the relay holds
+// none of them for ever: each message that was logged as accepted ends, and none is sent twice.
+func TestClientLeavesAfterBurst(t *testing.T) {
+	endpoint := newFakeEndpoint(t, nil)
+	discovery := newFakeDiscovery(t, endpoint.member("s-1", 7))
+	env := writeTestConfig(t, discovery, 3)
 	startChild(t, env)
 	conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := ""
+	burst := ""
 	for i := range 20 {
-		text += putText("b"+strconv.Itoa(i), fields("once", 20000, 7), nil)
+		burst += putCommand("b"+strconv.Itoa(i), putFields("once", 20000, 7), nil)
 	}
-	io.WriteString(conn, text)
+	io.WriteString(conn, burst)
 	conn.Close()
-	cl := dialClient(t, env["ROUTER_LISTEN"])
+	client := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 3 {
 		id := "after" + strconv.Itoa(i)
-		if s := cl.put(id, fields("once", 20000, 7), nil); s != "+OK" {
-			t.Fatal(s)
+		if reply := client.put(id, putFields("once", 20000, 7), nil); reply != "+OK" {
+			t.Fatal(reply)
 		}
-		waitFor(t, id, func() bool { return ep.count(id) == 1 })
+		waitFor(t, id, func() bool { return endpoint.callCount(id) == 1 })
 	}
-	waitFor(t, "an end of each", func() bool {
+	waitFor(t, "the end of each accepted message in the log", func() bool {
 		log, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
 		return strings.Count(string(log), `"kind":"taken"`) == strings.Count(string(log), `"kind":"end"`)
 	})
 	for i := range 20 {
-		if n := ep.count("b" + strconv.Itoa(i)); n > 1 {
-			t.Errorf("message %d went out %d times", i, n)
+		if calls := endpoint.callCount("b" + strconv.Itoa(i)); calls > 1 {
+			t.Errorf("message %d: got %d calls, want at most 1", i, calls)
 		}
 	}
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, -1, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
+	x := newDiscovery(d.addr(), 3, -1, clock.System(), discardLogger(), collectLists(func(l *List) { news <- l }))
 	x.silenceTimeout = silence
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -60,25 +60,25 @@
 		t.Fatalf("first %+v", l)
 	}
 	m.Phase = phaseDraining
-	d.say(t, change(2, m))
+	d.sendLine(t, change(2, m))
 	if l := next(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != phaseDraining {
 		t.Fatalf("then %+v", l)
 	}
-	d.set(func(d *fakeDiscovery) { close(d.lines[0]) }) // the connection ends
-	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 2 })
+	d.update(func(d *fakeDiscovery) { close(d.watches[0]) }) // the connection ends
+	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 2 })
 	d.mu.Lock()
-	from, fetches := d.froms[1], d.fetches
+	from, fetches := d.watchRevisions[1], d.listFetches
 	d.mu.Unlock()
 	if from != "2" || fetches != 1 {
 		t.Errorf("goes on from %s after %d fetches", from, fetches)
 	}
 	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`, `{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
-		d.say(t, bad)
+		d.sendLine(t, bad)
 		if l := next(t, news); !l.Complete {
 			t.Fatalf("after line %d: %+v", i, l)
 		}
-		waitFor(t, "a further watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 3+i })
+		waitFor(t, "a further watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 3+i })
 	}
 }
 
@@ -88,7 +88,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	news := watchList(t, d, 100*time.Millisecond)
 	next(t, news)
-	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) >= 2 })
+	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) >= 2 })
 }
 
 // Guards discovery against a fleet that lost it at one moment: in every span of
@@ -96,7 +96,7 @@
 // their number, and a small fleet still asks soon.
 func TestFleetAsksSpreadOut(t *testing.T) {
 	for _, relays := range []int{3, 80, 300, 3000} {
-		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
+		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), discardLogger(), nil)
 		rng := rand.New(rand.NewPCG(1, 2))
 		span := 10 * discoveryServiceTime
 		asked := map[time.Duration]int{} // by span
@@ -117,10 +117,10 @@
 			}
 		}
 	}
-	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove || d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
+	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), discardLogger(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove || d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
 		t.Errorf("300 relays: first pause up to %v, a later one from %v", d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
 	}
-	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound || d.responseWait != minResponseWait {
+	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), discardLogger(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound || d.responseWait != minResponseWait {
 		t.Errorf("three relays: first pause up to %v, answer within %v", d.backoffDelay(1, 0.99), d.responseWait)
 	}
 }
@@ -131,7 +131,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
+	x := newDiscovery(d.addr(), 3, 7, clock.System(), discardLogger(), collectLists(func(l *List) { news <- l }))
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	if l := next(t, news); l.Complete || len(l.Members) > 0 || l.Revision != 7 {
@@ -139,8 +139,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fetches != 0 || len(d.froms) != 1 || d.froms[0] != "7" {
-		t.Errorf("%d fetches, watches from %v", d.fetches, d.froms)
+	if d.listFetches != 0 || len(d.watchRevisions) != 1 || d.watchRevisions[0] != "7" {
+		t.Errorf("%d fetches, watches from %v", d.listFetches, d.watchRevisions)
 	}
 }
 
@@ -150,7 +150,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	news, done := make(chan *List, 64), make(chan struct{})
-	x := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collectLists(func(l *List) { news <- l }))
+	x := newDiscovery(d.addr(), 300, 7, clock.System(), discardLogger(), collectLists(func(l *List) { news <- l }))
 	x.round = 1000 * time.Hour
 	go func() { defer close(done); x.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -163,13 +163,13 @@
 // goes on from the version reached, without the whole list.
 func TestRefusedWatchKeepsVersion(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
-	d.set(func(d *fakeDiscovery) { d.refuse = 2 })
+	d.update(func(d *fakeDiscovery) { d.watchesToRefuse = 2 })
 	next(t, watchList(t, d, testLimit))
-	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 1 })
+	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 1 })
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fetches != 1 || d.froms[0] != "1" || d.refuse != 0 {
-		t.Errorf("%d fetches, watch from %s, %d refusals left", d.fetches, d.froms[0], d.refuse)
+	if d.listFetches != 1 || d.watchRevisions[0] != "1" || d.watchesToRefuse != 0 {
+		t.Errorf("%d fetches, watch from %s, %d refusals left", d.listFetches, d.watchRevisions[0], d.watchesToRefuse)
 	}
 }
 
@@ -177,11 +177,11 @@
 // that it was given.
 func TestStartWithoutDiscovery(t *testing.T) {
 	d := newFakeDiscovery(t)
-	d.set(func(d *fakeDiscovery) { d.silent = true })
-	env := testConfig(t, d, 3)
+	d.update(func(d *fakeDiscovery) { d.silent = true })
+	env := writeTestConfig(t, d, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 	_ = c
@@ -191,9 +191,9 @@
 // up the others.
 func TestNotices(t *testing.T) {
 	d := newFakeDiscovery(t)
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusInternalServerError })
 	taken := make(chan string, 16)
-	n := newNotices(d.addr(), clock.System(), quietLog(), func(id string) { taken <- id })
+	n := newNotices(d.addr(), clock.System(), discardLogger(), func(id string) { taken <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
@@ -205,14 +205,14 @@
 		t.Fatalf("%s held to be told", id)
 	case <-time.After(50 * time.Millisecond):
 	}
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusNoContent })
 	for range 2 {
 		<-taken
 	}
 	if b, _ := d.notice("b"); b != (notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500}) {
 		t.Errorf("told %+v", b)
 	}
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusBadRequest })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusBadRequest })
 	n.incoming.put(notice{Message: "c", Outcome: noticeGivenUp})
 	if id := <-taken; id != "c" {
 		t.Errorf("%s in place of c", id)
@@ -253,7 +253,7 @@
 func tellAll(t *testing.T, addr string, count int, put func(*notices)) map[string]int {
 	t.Helper()
 	taken := make(chan string, maxNoticeBatch)
-	n := newNotices(addr, clock.System(), quietLog(), func(id string) { taken <- id })
+	n := newNotices(addr, clock.System(), discardLogger(), func(id string) { taken <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -231,14 +231,14 @@
 	if o := c.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
 		t.Errorf("call cancelled while dialing: got %+v, want the outcome NotSent", o)
 	}
-	if n := ep.count("m"); n != 0 {
+	if n := ep.callCount("m"); n != 0 {
 		t.Errorf("calls that the endpoint received: got %d, want 0", n)
 	}
 	// The drain may also arrive just as the connection is established.
 	late := newTestCall()
 	late.stage.Store(callCancelled)
-	if o := late.runForResult(t, p.forHost(ep.addr()), &record{ID: "late"}, testLimit); o.outcome != decide.NotSent || ep.count("late") != 0 {
-		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", o, ep.count("late"))
+	if o := late.runForResult(t, p.forHost(ep.addr()), &record{ID: "late"}, testLimit); o.outcome != decide.NotSent || ep.callCount("late") != 0 {
+		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", o, ep.callCount("late"))
 	}
 	// A call that is being sent is not cancelled.
 	sending := newTestCall()
@@ -414,7 +414,7 @@
 
 func TestProbe(t *testing.T) {
 	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Errored} {
-		ep := newFakeEndpoint(t, status(code))
+		ep := newFakeEndpoint(t, respondStatus(code))
 		if o := probe(context.Background(), testPool(t).forHost(ep.addr())); o.outcome != want {
 			t.Errorf("probe with status %d: got %+v, want the outcome of the case", code, o)
 		}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -21,11 +21,11 @@
 	"time"
 )
 
-// childEnv makes the test's own program a relay, so that a test can kill one.
+// childEnv makes the test binary run as a relay, so that a test has a relay process that it can kill.
 const childEnv = "TROUTUSHER_TEST_CHILD"
 
-// commandTimeEnv gives such a relay another time for a command.
-const commandTimeEnv = "TROUTUSHER_TEST_COMMAND_TIME"
+// commandTimeoutEnv sets another command timeout for a relay in a child process.
+const commandTimeoutEnv = "TROUTUSHER_TEST_COMMAND_TIME"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(childEnv) == "" {
@@ -34,22 +34,22 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := LoadConfig(os.Getenv)
 	if err != nil {
-		log.Error("child", "err", err)
+		log.Error("cannot load the configuration of the child relay", "err", err)
 		os.Exit(2)
 	}
 	cfg.folder = childFolder()
-	if text := os.Getenv(commandTimeEnv); text != "" {
+	if text := os.Getenv(commandTimeoutEnv); text != "" {
 		if cfg.commandTimeout, err = time.ParseDuration(text); err != nil {
-			log.Error("child", "err", err)
+			log.Error("invalid command timeout of the child relay", "err", err)
 			os.Exit(2)
 		}
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	re := Reload{Requested: hup, Read: func() (*Config, error) { return ReloadConfig(os.Getenv) }}
-	if err := Run(cfg, childClock(), log, ctx.Done(), re); err != nil {
-		log.Error("child", "err", err)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	reload := Reload{Requested: reloadSignals, Read: func() (*Config, error) { return ReloadConfig(os.Getenv) }}
+	if err := Run(cfg, childClock(), log, ctx.Done(), reload); err != nil {
+		log.Error("child relay stopped", "err", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -68,87 +68,88 @@
  "report":{"fields":[],"how":"none"},
  "tick_us":5000,"value_by":"request","weights":"nominal","zone":0}`
 
-// waitFor waits for a condition, never for a time.
-func waitFor(t *testing.T, what string, cond func() bool) {
+// waitFor waits until a condition holds, and fails the test if it does not within 30 s.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for %s", description)
 }
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// fakeDiscovery is the agent on a relay's machine.
+// fakeDiscovery is a discovery agent that serves a list of endpoints and receives notices.
 type fakeDiscovery struct {
 	*httptest.Server
-	mu       sync.Mutex
-	list     List
-	lines    []chan string // of the watches that are open
-	froms    []string      // what watches asked for
-	fetches  int
-	notices  map[string]notice
-	noticed  map[string]time.Time // when the first notice of a message came
-	answer   int                  // status of notices
-	silent   bool
-	unheard  int // requests that came while silent
-	refuse   int // watches that are still to be refused
-	released chan struct{}
+	mu                  sync.Mutex
+	list                List
+	watches             []chan string // lines to send on the open watches
+	watchRevisions      []string      // revisions from which watches were requested
+	listFetches         int           // requests for the list that were not watches
+	notices             map[string]notice
+	firstNoticeAt       map[string]time.Time // when the first notice of a message arrived
+	noticeStatus        int                  // status of the responses to notices; only 204 records them
+	silent              bool                 // the list is not served, and open watches get no heartbeats
+	requestsWhileSilent int                  // requests for the list that arrived while silent
+	watchesToRefuse     int                  // the number of watches to refuse from here on
+	stopped             chan struct{}        // closed at the end of the test
 }
 
 func newFakeDiscovery(t *testing.T, members ...Member) *fakeDiscovery {
-	d := &fakeDiscovery{list: List{Revision: 1, Complete: true, Members: members}, notices: map[string]notice{}, noticed: map[string]time.Time{},
-		answer: http.StatusNoContent, released: make(chan struct{})}
+	d := &fakeDiscovery{list: List{Revision: 1, Complete: true, Members: members},
+		notices: map[string]notice{}, firstNoticeAt: map[string]time.Time{},
+		noticeStatus: http.StatusNoContent, stopped: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listPath, d.serveList)
 	mux.HandleFunc("POST "+noticePath, d.serveNotices)
 	d.Server = httptest.NewServer(mux)
-	t.Cleanup(func() { close(d.released); d.CloseClientConnections(); d.Close() })
+	t.Cleanup(func() { close(d.stopped); d.CloseClientConnections(); d.Close() })
 	return d
 }
 
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	if d.silent {
-		d.unheard++
+		d.requestsWhileSilent++
 		d.mu.Unlock()
 		select {
 		case <-r.Context().Done():
-		case <-d.released:
+		case <-d.stopped:
 		}
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		d.fetches++
+		d.listFetches++
 		json.NewEncoder(w).Encode(d.list)
 		d.mu.Unlock()
 		return
 	}
-	if d.refuse > 0 {
-		d.refuse--
+	if d.watchesToRefuse > 0 {
+		d.watchesToRefuse--
 		d.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	lines := make(chan string, 16)
-	d.lines = append(d.lines, lines)
-	d.froms = append(d.froms, r.URL.Query().Get("from"))
+	d.watches = append(d.watches, lines)
+	d.watchRevisions = append(d.watchRevisions, r.URL.Query().Get("from"))
 	d.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
 	for {
 		select {
-		case s, ok := <-lines:
+		case line, ok := <-lines:
 			if !ok {
 				return
 			}
-			io.WriteString(w, s+"\n")
+			io.WriteString(w, line+"\n")
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
-		case <-d.released:
+		case <-d.stopped:
 			return
 		case <-time.After(time.Second):
 			d.mu.Lock()
@@ -165,23 +166,24 @@
 func (d *fakeDiscovery) serveNotices(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.answer == http.StatusNoContent {
-		for dec := json.NewDecoder(r.Body); dec.More(); {
-			var n notice
-			if dec.Decode(&n) != nil {
+	if d.noticeStatus == http.StatusNoContent {
+		for decoder := json.NewDecoder(r.Body); decoder.More(); {
+			var received notice
+			if decoder.Decode(&received) != nil {
 				break
 			}
-			d.notices[n.Message] = n
-			if _, again := d.noticed[n.Message]; !again {
-				d.noticed[n.Message] = time.Now()
+			d.notices[received.Message] = received
+			if _, known := d.firstNoticeAt[received.Message]; !known {
+				d.firstNoticeAt[received.Message] = time.Now()
 			}
 		}
 	}
-	w.WriteHeader(d.answer)
+	w.WriteHeader(d.noticeStatus)
 }
 
 func (d *fakeDiscovery) addr() string { return d.Listener.Addr().String() }
 
+// notice returns the latest notice of a message.
 func (d *fakeDiscovery) notice(id string) (notice, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,77 +191,83 @@
 	return n, ok
 }
 
-// noticedAt is when the first notice of a message came.
-func (d *fakeDiscovery) noticedAt(id string) (at time.Time, ok bool) {
+// firstNoticeTime returns when the first notice of a message arrived.
+func (d *fakeDiscovery) firstNoticeTime(id string) (at time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, ok = d.noticed[id]
+	at, ok = d.firstNoticeAt[id]
 	return at, ok
 }
 
-func (d *fakeDiscovery) set(f func(*fakeDiscovery)) {
+// update changes the agent's state under its lock.
+func (d *fakeDiscovery) update(f func(*fakeDiscovery)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d)
 }
 
-// say sends a line on the newest watch.
-func (d *fakeDiscovery) say(t *testing.T, line string) {
+// sendLine sends a line on the newest watch, and waits for a watch if there is none.
+func (d *fakeDiscovery) sendLine(t *testing.T, line string) {
 	t.Helper()
-	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.lines) > 0 })
+	waitFor(t, "a watch of the list", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watches) > 0 })
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lines[len(d.lines)-1] <- line
+	d.watches[len(d.watches)-1] <- line
 }
 
-// fakeEndpoint answers calls by a function and keeps what came.
+// fakeEndpoint responds to calls with a function and records the calls that it received.
 type fakeEndpoint struct {
 	*httptest.Server
-	mu     sync.Mutex
-	calls  []gotCall
-	answer func(w http.ResponseWriter, r *http.Request, n int)
+	mu      sync.Mutex
+	calls   []receivedCall
+	respond func(w http.ResponseWriter, r *http.Request, callNumber int) // responds with 200 if nil
 }
 
-type gotCall struct {
+// receivedCall is a call as it arrived at a fake endpoint.
+type receivedCall struct {
 	id, key, timeout string
 	body             []byte
 }
 
-func newFakeEndpoint(t *testing.T, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
-	e := &fakeEndpoint{answer: answer}
+func newFakeEndpoint(t *testing.T, respond func(w http.ResponseWriter, r *http.Request, callNumber int)) *fakeEndpoint {
+	e := &fakeEndpoint{respond: respond}
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
-		e.calls = append(e.calls, gotCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body})
-		n, answer := len(e.calls), e.answer
+		e.calls = append(e.calls, receivedCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"),
+			r.Header.Get("X-Timeout-Ms"), body})
+		callNumber, respond := len(e.calls), e.respond
 		e.mu.Unlock()
-		if answer != nil {
-			answer(w, r, n)
+		if respond != nil {
+			respond(w, r, callNumber)
 		}
 	}))
 	t.Cleanup(func() { e.CloseClientConnections(); e.Close() })
 	return e
 }
 
-// hang holds a call until its caller is gone.
+// hang does not respond, and returns once the caller has closed the connection.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
-func status(code int) func(http.ResponseWriter, *http.Request, int) {
+// respondStatus returns a function that responds to every call with a status code.
+func respondStatus(code int) func(http.ResponseWriter, *http.Request, int) {
 	return func(w http.ResponseWriter, _ *http.Request, _ int) { w.WriteHeader(code) }
 }
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (e *fakeEndpoint) then(answer func(http.ResponseWriter, *http.Request, int)) {
+// respondWith sets the function that responds to the calls from now on.
+func (e *fakeEndpoint) respondWith(respond func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answer = answer
+	e.respond = respond
 }
 
-func (e *fakeEndpoint) count(id string) (n int) {
+// callCount returns the number of calls received for a message.
+func (e *fakeEndpoint) callCount(id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range e.calls {
@@ -270,13 +278,14 @@
 	return n
 }
 
-func (e *fakeEndpoint) member(id string, cell int) Member {
-	return Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: phaseUp, Size: 1000}
+// member returns the entry of this endpoint in discovery's list.
+func (e *fakeEndpoint) member(id string, dest int) Member {
+	return Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: dest, Phase: phaseUp, Size: 1000}
 }
 
-// reserveAddr gives an address with a port that nobody else is given while the test runs, and that
-// one process can listen on. A socket that is bound and does not listen keeps the system from
-// choosing the port for others; both sockets allow that the address is used again.
+// reserveAddr returns an address on which one process can listen. No other process is assigned its port
+// while the test runs: a socket that is bound but does not listen keeps the system from choosing the
+// port again. SO_REUSEADDR on this socket and on the listener allows both to be bound to the address.
 func reserveAddr(t *testing.T) string {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -297,13 +306,13 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// testConfig writes a configuration and returns the environment that names it.
-func testConfig(t *testing.T, d *fakeDiscovery, diskMB int) map[string]string {
+// writeTestConfig writes a configuration file and returns the environment of a relay that uses it.
+func writeTestConfig(t *testing.T, d *fakeDiscovery, diskMB int) map[string]string {
 	t.Helper()
 	listen := reserveAddr(t)
 	dir := t.TempDir()
-	state := filepath.Join(dir, "state")
-	if err := os.Mkdir(state, 0o700); err != nil {
+	stateFolder := filepath.Join(dir, "state")
+	if err := os.Mkdir(stateFolder, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "config.json")
@@ -312,25 +321,26 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return map[string]string{"TMPDIR": dir, "ROUTER_CONFIG": path, "ROUTER_STATE": state, "ROUTER_LISTEN": listen,
+	return map[string]string{"TMPDIR": dir, "ROUTER_CONFIG": path, "ROUTER_STATE": stateFolder, "ROUTER_LISTEN": listen,
 		"ROUTER_DISCOVERY": d.addr(), "ROUTER_NAME": "n1"}
 }
 
-// child is a relay in a process of its own.
+// child is a relay in a child process.
 type child struct {
 	cmd *exec.Cmd
 	env map[string]string
 }
 
+// startChild starts a relay and waits until it serves clients.
 func startChild(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	c := launchChild(t, env, nil)
-	c.ready(t)
+	c.waitReady(t)
 	return c
 }
 
-// launchChild starts a relay, with the clients' socket handed down to it where
-// one is given.
+// launchChild starts a relay, which inherits the clients' listening socket if one is given. It does not
+// wait until the relay serves.
 func launchChild(t *testing.T, env map[string]string, socket *os.File) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
@@ -342,7 +352,7 @@
 	return c
 }
 
-// launchLoggedChild starts a relay and keeps what it logs.
+// launchLoggedChild starts a relay and keeps its log output.
 func launchLoggedChild(t *testing.T, env map[string]string) (*child, *childLog) {
 	t.Helper()
 	logged := &childLog{}
@@ -352,7 +362,7 @@
 	return c, logged
 }
 
-// launch starts what the child is to run.
+// launch starts the prepared command and kills it at the end of the test.
 func (c *child) launch(t *testing.T) {
 	t.Helper()
 	c.cmd.Env = append(append(os.Environ(), c.cmd.Env...), childEnv+"=1")
@@ -360,7 +370,7 @@
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
 	}
 	if c.cmd.Stderr == nil {
-		c.cmd.Stderr = testWriter{t}
+		c.cmd.Stderr = stderrWriter{t}
 	}
 	if err := c.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -368,31 +378,34 @@
 	t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
 }
 
-type testWriter struct{ t *testing.T }
+// stderrWriter passes a child's log output to the test's standard error.
+type stderrWriter struct{ t *testing.T }
 
-func (w testWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
+func (w stderrWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
 
-func (c *child) ready(t *testing.T) {
+// waitReady waits until the relay replies to a PING.
+func (c *child) waitReady(t *testing.T) {
 	t.Helper()
-	waitFor(t, "PONG", func() bool {
+	waitFor(t, "the reply to a PING", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
 		}
 		defer conn.Close()
 		io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
-		s, _ := bufio.NewReader(conn).ReadString('\n')
-		return s == "+PONG\r\n"
+		reply, _ := bufio.NewReader(conn).ReadString('\n')
+		return reply == "+PONG\r\n"
 	})
 }
 
+// kill ends the process with SIGKILL and waits for its end.
 func (c *child) kill() { c.cmd.Process.Kill(); c.cmd.Wait() }
 
-// testClient hands messages in over one connection.
+// testClient hands in messages over one connection.
 type testClient struct {
 	t *testing.T
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dialClient(t *testing.T, addr string) *testClient {
@@ -406,34 +419,38 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func putText(id, fields string, body []byte) string {
-	var b strings.Builder
-	b.WriteString("*5\r\n")
-	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, string(body)} {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(s), s)
+// putCommand returns a MSG.PUT command as it is sent.
+func putCommand(id, fields string, body []byte) string {
+	var text strings.Builder
+	text.WriteString("*5\r\n")
+	for _, argument := range []string{"MSG.PUT", "0000000000000000", id, fields, string(body)} {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(argument), argument)
 	}
-	return b.String()
+	return text.String()
 }
 
+// put hands in a message and returns the reply.
 func (c *testClient) put(id, fields string, body []byte) string {
 	c.t.Helper()
-	io.WriteString(c, putText(id, fields, body))
-	return c.line()
+	io.WriteString(c, putCommand(id, fields, body))
+	return c.readLine()
 }
 
-func (c *testClient) line() string {
+// readLine returns the next line from the relay without its line end.
+func (c *testClient) readLine() string {
 	c.t.Helper()
-	s, err := c.in.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("reading a reply: got error %v, want a line", err)
 	}
-	return strings.TrimSuffix(s, "\r\n")
+	return strings.TrimSuffix(line, "\r\n")
 }
 
-func fields(class string, deadlineMS int, dest int) string {
-	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
+// putFields returns the fields argument of a MSG.PUT, with a key if the class is keyed.
+func putFields(class string, deadlineMS int, dest int) string {
+	text := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
-		s += ",k=5c0f6e1a2b3d4c59"
+		text += ",k=5c0f6e1a2b3d4c59"
 	}
-	return s
+	return text
 }
--- a/internal/relay/faulty_accept_test.go
+++ b/internal/relay/faulty_accept_test.go
@@ -16,11 +16,11 @@
 	const failureTime = 200 * time.Millisecond
 	serve := map[string]func(net.Listener){
 		"clients": func(listener net.Listener) {
-			newClients(parseTestConfig(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {}).serve(listener)
+			newClients(parseTestConfig(t), clock.System(), discardLogger(), replyOK, func(*putRequest, bool) {}).serve(listener)
 		},
 		"operators": func(listener net.Listener) {
 			(&operatorPort{calls: operatorCalls{"READY": func() (string, bool) { return "ready", true }},
-				clock: clock.System(), log: quietLog()}).serve(listener)
+				clock: clock.System(), log: discardLogger()}).serve(listener)
 		},
 	}
 	exchanges := map[string][2]string{"clients": {"*1\r\n$4\r\nPING\r\n", "+PONG"},
@@ -45,7 +45,7 @@
 				client := dialClient(t, listener.Addr().String())
 				io.WriteString(client, exchanges[name][0])
 				got := make([]byte, len(exchanges[name][1]))
-				if _, err := io.ReadFull(client.in, got); err != nil || string(got) != exchanges[name][1] {
+				if _, err := io.ReadFull(client.reader, got); err != nil || string(got) != exchanges[name][1] {
 					t.Errorf("after the failures: got reply %q and error %v", got, err)
 				}
 				select {
@@ -64,7 +64,7 @@
 // each shortage of a resource on this machine delays the next accept.
 func TestAcceptBackoff(t *testing.T) {
 	for _, errno := range acceptErrnos {
-		backoff := acceptBackoff{log: quietLog(), clock: clock.System(), listener: "test"}
+		backoff := acceptBackoff{log: discardLogger(), clock: clock.System(), listener: "test"}
 		delays := 0
 		for range 100 {
 			delay := backoff.failed(opError("accept", "accept4", errno))
--- a/internal/relay/faulty_agent_test.go
+++ b/internal/relay/faulty_agent_test.go
@@ -21,7 +21,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			dials := &faultSchedule{failures: 1 << 30, errno: errno}
-			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), quietLog(), func(context.Context) (membership.Receiver, error) { return nil, errStaleList })
+			d := newDiscovery("127.0.0.1:1", 1, -1, clock.System(), discardLogger(), func(context.Context) (membership.Receiver, error) { return nil, errStaleList })
 			d.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				dials.next()
 				return nil, opError("dial", "connect", errno)
@@ -43,7 +43,7 @@
 		t.Run(strings.ReplaceAll(errno.Error(), " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			dials := &faultSchedule{failures: 1 << 30, errno: errno}
-			n := newNotices("127.0.0.1:1", clock.System(), quietLog(), func(string) {})
+			n := newNotices("127.0.0.1:1", clock.System(), discardLogger(), func(string) {})
 			n.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 				dials.next()
 				return nil, opError("dial", "connect", errno)
--- a/internal/relay/faulty_call_test.go
+++ b/internal/relay/faulty_call_test.go
@@ -211,7 +211,7 @@
 // reports that it came too late; the write then fails, and the call is sent on another connection without the
 // message.
 func TestMessageRemovedWhileLastByteFails(t *testing.T) {
-	addr, ids := batchTaker(t)
+	addr, ids := acceptingEndpoint(t)
 	h := testPool(t).forHost(addr)
 	c := newTestCall()
 	removed := &message{num: 1}
--- a/internal/relay/faulty_client_test.go
+++ b/internal/relay/faulty_client_test.go
@@ -15,7 +15,7 @@
 	wrap func(*net.TCPConn) net.Conn) (*clients, string, chan bool) {
 	t.Helper()
 	written := make(chan bool, 64)
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	server := newClients(parseTestConfig(t), clock.System(), discardLogger(), submit, func(_ *putRequest, ok bool) { written <- ok })
 	listener := &wrappingListener{listenLocal(t), wrap}
 	go server.serve(listener)
 	return server, listener.Addr().String(), written
@@ -49,7 +49,7 @@
 			})
 			client := dialClient(t, addr)
 			for _, id := range []string{"a", "b"} {
-				if reply := client.put(id, fields("plain", 8000, 1), []byte("body of "+id)); reply != "+OK" {
+				if reply := client.put(id, putFields("plain", 8000, 1), []byte("body of "+id)); reply != "+OK" {
 					t.Fatalf("got reply %q, want +OK", reply)
 				}
 				if request := <-submitted; request.record.ID != id || string(request.record.body) != "body of "+id || !<-written {
@@ -69,10 +69,10 @@
 				return &faultyConn{TCPConn: conn, failWriteAt: failAfter, writeErrno: errno, writeFailures: 2}
 			})
 			client := dialClient(t, addr)
-			if reply := client.put("m", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
+			if reply := client.put("m", putFields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
 				t.Errorf("%v after %d bytes: got reply %q, want +OK, reported as written", errno, failAfter, reply)
 			}
-			if reply := client.put("n", fields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
+			if reply := client.put("n", putFields("plain", 8000, 1), nil); reply != "+OK" || !<-written {
 				t.Errorf("next message after %v after %d bytes: got reply %q, want +OK, reported as written",
 					errno, failAfter, reply)
 			}
@@ -82,7 +82,7 @@
 				return &faultyConn{TCPConn: conn, failWriteAt: failAfter, writeErrno: errno, writeFailures: 1 << 30}
 			})
 			client := dialClient(t, addr)
-			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+			io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 			if <-written {
 				t.Errorf("%v after %d bytes: the reply was reported as written, want not written", errno, failAfter)
 			}
@@ -101,7 +101,7 @@
 			return &faultyConn{TCPConn: conn, reads: &faultSchedule{first: 1, failures: 1 << 30, errno: errno}}
 		})
 		client := dialClient(t, addr)
-		io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+		io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 		if <-written {
 			t.Errorf("%v: the reply was reported as written, want not written", errno)
 		}
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -78,7 +78,7 @@
 func startLoggedChild(t *testing.T, env map[string]string) (*child, *childLog) {
 	t.Helper()
 	c, logged := launchLoggedChild(t, env)
-	c.ready(t)
+	c.waitReady(t)
 	return c, logged
 }
 
@@ -106,40 +106,40 @@
 		{"EIO", modifyingOperations},
 	} {
 		t.Run(test.errorName, func(t *testing.T) {
-			refusing := status(http.StatusServiceUnavailable)
+			refusing := respondStatus(http.StatusServiceUnavailable)
 			safe, unsafe := newFakeEndpoint(t, refusing), newFakeEndpoint(t, refusing)
 			held := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2), held.member("s-3", 3))
-			env := testConfig(t, disc, 3)
+			env := writeTestConfig(t, disc, 3)
 			rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
 			control := newFolderControl(t, env)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
-			for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
+			for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "unsafe": putFields("once", 20000, 2)} {
 				if s := client.put(id, f, nil); s != "+OK" {
 					t.Fatalf("%s: got reply %q, want +OK", id, s)
 				}
 			}
-			waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
+			waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("unsafe") > 0 })
 			control.fail(test.errorName, test.operations...)
 			for i := range 20 {
-				expectBusy(t, client.put("refused"+strconv.Itoa(i), fields("plain", 20000, 3), nil))
+				expectBusy(t, client.put("refused"+strconv.Itoa(i), putFields("plain", 20000, 3), nil))
 			}
-			before := unsafe.count("unsafe")
+			before := unsafe.callCount("unsafe")
 			for _, e := range []*fakeEndpoint{safe, unsafe} {
-				e.then(nil)
+				e.respondWith(nil)
 			}
-			sent := safe.count("safe")
-			waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
+			sent := safe.callCount("safe")
+			waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
 			time.Sleep(500 * time.Millisecond) // long enough for an attempt that must not be made
-			if n := unsafe.count("unsafe"); n != before {
+			if n := unsafe.callCount("unsafe"); n != before {
 				t.Errorf("the unsafe message was sent %d times without a record, want 0", n-before)
 			}
-			delivered := safe.count("safe")
+			delivered := safe.callCount("safe")
 			control.heal()
 			waitFor(t, "a new message to be accepted",
-				func() bool { return client.put("new", fields("plain", 20000, 3), nil) == "+OK" })
-			waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
+				func() bool { return client.put("new", putFields("plain", 20000, 3), nil) == "+OK" })
+			waitFor(t, "the unsafe message", func() bool { return unsafe.callCount("unsafe") > before })
 			waitFor(t, "the end of the unsafe message in the log",
 				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"unsafe"`) })
 			waitFor(t, "the end of the new message in the log",
@@ -151,22 +151,22 @@
 			}
 			next := startChild(t, env)
 			client = dialClient(t, env["ROUTER_LISTEN"])
-			if s := client.put("later", fields("plain", 20000, 3), nil); s != "+OK" {
+			if s := client.put("later", putFields("plain", 20000, 3), nil); s != "+OK" {
 				t.Fatal(s)
 			}
-			waitFor(t, "a call by the next process", func() bool { return held.count("later") == 1 })
+			waitFor(t, "a call by the next process", func() bool { return held.callCount("later") == 1 })
 			next.kill()
-			if n := safe.count("safe"); n != delivered {
+			if n := safe.callCount("safe"); n != delivered {
 				t.Errorf("the safe message was sent %d times after its delivery, want 0", n-delivered)
 			}
-			if n := unsafe.count("unsafe"); n != before+1 {
+			if n := unsafe.callCount("unsafe"); n != before+1 {
 				t.Errorf("the unsafe message was sent %d times after the folder worked again, want 1", n-before)
 			}
-			if n := held.count("new"); n != 1 {
+			if n := held.callCount("new"); n != 1 {
 				t.Errorf("the new message was sent %d times, want 1", n)
 			}
 			for i := range 20 {
-				if n := held.count("refused" + strconv.Itoa(i)); n != 0 {
+				if n := held.callCount("refused" + strconv.Itoa(i)); n != 0 {
 					t.Errorf("a refused message was sent %d times, want 0", n)
 				}
 			}
@@ -182,33 +182,33 @@
 // The relay is killed just as the folder works again. A message that was delivered meanwhile and is safe
 // to repeat may be delivered again. One that is not safe is neither sent twice nor ended twice.
 func TestKilledAsFolderRecovers(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
-	unsafe.then(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
+	safe, unsafe := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
+	unsafe.respondWith(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
 	disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	control := newFolderControl(t, env)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "out": fields("once", 20000, 2)} {
+	for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "out": putFields("once", 20000, 2)} {
 		if s := client.put(id, f, nil); s != "+OK" {
 			t.Fatalf("%s: got reply %q, want +OK", id, s)
 		}
 	}
-	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("out") == 1 })
+	waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("out") == 1 })
 	control.fail("EIO", modifyingOperations...)
-	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
-	safe.then(nil)
-	sent := safe.count("safe")
-	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
+	expectBusy(t, client.put("refused", putFields("plain", 20000, 1), nil))
+	safe.respondWith(nil)
+	sent := safe.callCount("safe")
+	waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
 	control.heal()
 	c.kill()
 	startChild(t, env)
 	waitFor(t, "the notice about the unsafe message",
 		func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := unsafe.count("out"); n != 1 {
+	if n := unsafe.callCount("out"); n != 1 {
 		t.Errorf("the unsafe message was sent %d times, want 1", n)
 	}
-	if n := safe.count("refused"); n != 0 {
+	if n := safe.callCount("refused"); n != 0 {
 		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
 	if _, ok := disc.notice("safe"); ok {
@@ -219,15 +219,15 @@
 // If the state folder is missing at the start, the relay refuses all messages and logs the failure in
 // one line. Once the folder is back it resumes the pending messages.
 func TestStartsWithoutFolder(t *testing.T) {
-	endpoint := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	endpoint := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
-	if s := client.put("owed", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := client.put("owed", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "an attempt", func() bool { return endpoint.count("owed") > 0 })
+	waitFor(t, "an attempt", func() bool { return endpoint.callCount("owed") > 0 })
 	c.kill()
 	movedFolder := env["ROUTER_STATE"] + ".away"
 	if err := os.Rename(env["ROUTER_STATE"], movedFolder); err != nil {
@@ -236,11 +236,11 @@
 	if err := os.WriteFile(env["ROUTER_STATE"], nil, 0o600); err != nil { // a file in place of the folder
 		t.Fatal(err)
 	}
-	before := endpoint.count("owed")
+	before := endpoint.callCount("owed")
 	_, logged := startLoggedChild(t, env)
 	client = dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"owed", "new"} {
-		expectBusy(t, client.put(id, fields("plain", 20000, 1), nil))
+		expectBusy(t, client.put(id, putFields("plain", 20000, 1), nil))
 	}
 	time.Sleep(2 * folderRetryInterval) // further retries log nothing
 	if n := logged.count("state folder: failing"); n != 1 || logged.count("folder="+env["ROUTER_STATE"]) != 1 {
@@ -249,15 +249,15 @@
 	if err := errors.Join(os.Remove(env["ROUTER_STATE"]), os.Rename(movedFolder, env["ROUTER_STATE"])); err != nil {
 		t.Fatal(err)
 	}
-	endpoint.then(nil)
-	waitFor(t, "a call of the pending message", func() bool { return endpoint.count("owed") > before })
+	endpoint.respondWith(nil)
+	waitFor(t, "a call of the pending message", func() bool { return endpoint.callCount("owed") > before })
 	waitFor(t, "a new message to be accepted",
-		func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-	waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
+		func() bool { return client.put("new", putFields("plain", 20000, 1), nil) == "+OK" })
+	waitFor(t, "its call", func() bool { return endpoint.callCount("new") == 1 })
 	if logged.count("state folder: failing") != 1 || logged.count("state folder: works again") != 1 {
 		t.Error("want one log line for the failure and one for its end")
 	}
-	if n := endpoint.count("owed") - before; n != 1 {
+	if n := endpoint.callCount("owed") - before; n != 1 {
 		t.Errorf("the pending message was delivered %d times, want 1", n)
 	}
 }
@@ -271,22 +271,22 @@
 		t.Run(name, func(t *testing.T) {
 			endpoint := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
-			env := testConfig(t, disc, 3)
+			env := writeTestConfig(t, disc, 3)
 			startChild(t, env).kill() // leaves a log behind
 			control := newFolderControl(t, env)
 			control.fail("EIO", operations...)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
-			expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
+			expectBusy(t, client.put("refused", putFields("plain", 20000, 1), nil))
 			control.heal()
 			waitFor(t, "a new message to be accepted",
-				func() bool { return client.put("new", fields("plain", 20000, 1), nil) == "+OK" })
-			waitFor(t, "its call", func() bool { return endpoint.count("new") == 1 })
+				func() bool { return client.put("new", putFields("plain", 20000, 1), nil) == "+OK" })
+			waitFor(t, "its call", func() bool { return endpoint.callCount("new") == 1 })
 			waitFor(t, "the end of the failure in the log",
 				func() bool { return logged.count("state folder: works again") == 1 })
-			if logged.count("state folder: failing") != 1 || endpoint.count("refused") != 0 {
+			if logged.count("state folder: failing") != 1 || endpoint.callCount("refused") != 0 {
 				t.Errorf("failure logged %d times, want 1; refused message sent %d times, want 0",
-					logged.count("state folder: failing"), endpoint.count("refused"))
+					logged.count("state folder: failing"), endpoint.callCount("refused"))
 			}
 			c.cmd.Process.Signal(syscall.SIGTERM)
 			if err := c.cmd.Wait(); err != nil {
@@ -298,7 +298,7 @@
 
 // A relay that receives SIGTERM before its folder ever worked exits without an error.
 func TestStopsWithoutFolder(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
 	if err := os.Remove(env["ROUTER_STATE"]); err != nil {
 		t.Fatal(err)
 	}
@@ -312,8 +312,8 @@
 // During an upgrade while records are postponed, the predecessor's log is incomplete, so it must not be handed over.
 // The successor serves beside the predecessor, and adopts its log once the predecessor has ended.
 func TestUpgradeWhileFolderFails(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)),
-		newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	safe, unsafe := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)),
+		newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	s := newSite(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
 	rewrite(t, s.env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
 	control := newFolderControl(t, s.env)
@@ -325,46 +325,46 @@
 		return c, logged
 	}
 	old, oldLogged := start()
-	old.ready(t)
+	old.waitReady(t)
 	client := dialClient(t, s.env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"safe": fields("plain", 20000, 1), "unsafe": fields("once", 20000, 2)} {
+	for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "unsafe": putFields("once", 20000, 2)} {
 		if reply := client.put(id, f, nil); reply != "+OK" {
 			t.Fatalf("%s: got reply %q, want +OK", id, reply)
 		}
 	}
-	waitFor(t, "attempts", func() bool { return safe.count("safe") > 0 && unsafe.count("unsafe") > 0 })
+	waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("unsafe") > 0 })
 	control.fail("EIO", modifyingOperations...)
-	expectBusy(t, client.put("refused", fields("plain", 20000, 1), nil))
-	safe.then(nil)
-	sent := safe.count("safe")
-	waitFor(t, "the safe message", func() bool { return safe.count("safe") > sent })
-	delivered := safe.count("safe")
+	expectBusy(t, client.put("refused", putFields("plain", 20000, 1), nil))
+	safe.respondWith(nil)
+	sent := safe.callCount("safe")
+	waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
+	delivered := safe.callCount("safe")
 	_, logged := start()
 	waitFor(t, "the hand-over to be refused",
 		func() bool { return logged.count("the predecessor does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
-	before := unsafe.count("unsafe")
-	unsafe.then(nil)
+	before := unsafe.callCount("unsafe")
+	unsafe.respondWith(nil)
 	control.heal()
 	for _, l := range []*childLog{oldLogged, logged} {
 		waitFor(t, "the folder to work again", func() bool { return l.count("state folder: works again") == 1 })
 	}
-	waitFor(t, "the unsafe message", func() bool { return unsafe.count("unsafe") > before })
+	waitFor(t, "the unsafe message", func() bool { return unsafe.callCount("unsafe") > before })
 	old.kill()
 	client = dialClient(t, s.env["ROUTER_LISTEN"])
-	if reply := client.put("later", fields("plain", 20000, 1), nil); reply != "+OK" {
+	if reply := client.put("later", putFields("plain", 20000, 1), nil); reply != "+OK" {
 		t.Fatal(reply)
 	}
-	waitFor(t, "a call by the new process", func() bool { return safe.count("later") == 1 })
+	waitFor(t, "a call by the new process", func() bool { return safe.callCount("later") == 1 })
 	left := filepath.Join(s.env["ROUTER_STATE"], walFileName)
 	waitFor(t, "the old process's log to be adopted", func() bool { _, err := os.Stat(left); return err != nil })
-	if n := unsafe.count("unsafe") - before; n != 1 {
+	if n := unsafe.callCount("unsafe") - before; n != 1 {
 		t.Errorf("the unsafe message was delivered %d times, want 1", n)
 	}
-	if n := safe.count("safe") - delivered; n != 0 {
+	if n := safe.callCount("safe") - delivered; n != 0 {
 		t.Errorf("the safe message was sent %d times after its delivery, want 0", n)
 	}
-	if n := safe.count("refused"); n != 0 {
+	if n := safe.callCount("refused"); n != 0 {
 		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
 }
--- a/internal/relay/fuzz_log_test.go
+++ b/internal/relay/fuzz_log_test.go
@@ -19,7 +19,7 @@
 
 // newFuzzWAL returns a log without a file, as recovery uses it to replay one.
 func newFuzzWAL() *wal {
-	w := newWAL(fuzzLogLimitBytes, clock.System(), quietLog())
+	w := newWAL(fuzzLogLimitBytes, clock.System(), discardLogger())
 	w.replaying = true
 	return w
 }
--- a/internal/relay/fuzz_put_test.go
+++ b/internal/relay/fuzz_put_test.go
@@ -15,7 +15,7 @@
 // is within the limit of its class, its id and key can be header values, and a log record restores it unchanged.
 func FuzzParsePut(f *testing.F) {
 	cfg := parseTestConfig(f)
-	f.Add("message-1", fields("keyed", 20000, 7), []byte("body\n\x00"))
+	f.Add("message-1", putFields("keyed", 20000, 7), []byte("body\n\x00"))
 	f.Add("message-1", "c=plain,t=acme,d=1500.25,dest=4294967295,new=field", []byte{})
 	f.Add("message-1", "c=once,t=acme,d=40000,dest=0,k=", []byte("b"))
 	f.Add("message-1", "c=once,c=plain,t=acme,d=1,d=2,dest=1,dest=2", []byte("b"))
@@ -66,7 +66,7 @@
 
 // FuzzPutCommand checks that parsePut accepts no command, with any number of arguments, where no class is configured.
 func FuzzPutCommand(f *testing.F) {
-	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
+	f.Add([]byte(putCommand("m", "c=plain", []byte("b"))))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n"))
 	f.Add([]byte("*2\r\n$-1\r\n$"))
 	cfg := &Config{classes: map[string]int{}, tenants: map[string]int{}}
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	manual := clock.NewManual(clock.Read(clock.System()))
-	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, inbox: newMailbox[event](), clock: manual, epoch: policyEpoch,
+	r := &Relay{cfg: cfg, log: discardLogger(), policy: policy, inbox: newMailbox[event](), clock: manual, epoch: policyEpoch,
 		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: membership.NewDirectory(0),
 		pool: newPool(manual, time.Second, time.Second, 8)}
--- a/internal/relay/half_closed_test.go
+++ b/internal/relay/half_closed_test.go
@@ -14,14 +14,14 @@
 	submitted := make(chan *putRequest, 1)
 	_, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
 	client := dialClient(t, addr)
-	io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 	request := <-submitted
 	client.Conn.(*net.TCPConn).CloseWrite()
 	if <-written {
 		t.Error("the reply was reported as written, want not written")
 	}
 	request.sendReply(resp.OK) // too late
-	if reply := client.line(); reply != "-BUSY" {
+	if reply := client.readLine(); reply != "-BUSY" {
 		t.Errorf("got reply %q, want -BUSY", reply)
 	}
 	client.expectCleanEOF()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -25,7 +25,7 @@
 
 func newSite(t *testing.T, d *fakeDiscovery) *site {
 	t.Helper()
-	env := testConfig(t, d, 3)
+	env := writeTestConfig(t, d, 3)
 	ln, err := net.Listen("tcp", env["ROUTER_LISTEN"])
 	if err != nil {
 		t.Fatal(err)
@@ -92,10 +92,10 @@
 	s := newSite(t, disc)
 	// Half a command waits here for a whole process to start, which takes a busy
 	// machine longer than a client may take over one.
-	s.env[commandTimeEnv] = "1m"
+	s.env[commandTimeoutEnv] = "1m"
 	members := []Member{plain.member("s-1", 1)}
 	say := func(m Member) {
-		disc.set(func(d *fakeDiscovery) { d.list.Members = append(d.list.Members, m); d.list.Revision++ })
+		disc.update(func(d *fakeDiscovery) { d.list.Members = append(d.list.Members, m); d.list.Revision++ })
 	}
 	say(members[0])
 	type round struct {
@@ -126,49 +126,49 @@
 	for i, x := range rounds {
 		cl, half := dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
 		io.WriteString(half, pingCommand)
-		if got := half.line(); got != "+PONG" {
+		if got := half.readLine(); got != "+PONG" {
 			t.Fatal(got)
 		}
 		id := func(name string) string { return fmt.Sprintf("%s-%d", name, i) }
-		for name, f := range map[string]string{"good": fields("once", 20000, 10+i), "bad": fields("once", 20000, 20+i),
-			"told": fields("once", 20000, 30+i), "nowhere": fields("once", 20000, 30+i)} {
+		for name, f := range map[string]string{"good": putFields("once", 20000, 10+i), "bad": putFields("once", 20000, 20+i),
+			"told": putFields("once", 20000, 30+i), "nowhere": putFields("once", 20000, 30+i)} {
 			if got := cl.put(id(name), f, []byte("body of "+name)); got != "+OK" {
 				t.Fatalf("%s: %s", id(name), got)
 			}
 		}
 		waitFor(t, "the calls", func() bool {
-			return x.gate.entered.Load() == 2 && x.told.count(id("told"))+x.told.count(id("nowhere")) == 1
+			return x.gate.entered.Load() == 2 && x.told.callCount(id("told"))+x.told.callCount(id("nowhere")) == 1
 		})
 		io.WriteString(half, "*5\r\n$7\r\nMSG.PUT\r\n")
 		next := s.start(t)
-		if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("the idle connection: %v", err)
 		}
 		fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-		if got := fresh.put(id("fresh"), fields("once", 20000, 1), nil); got != "+OK" {
+		if got := fresh.put(id("fresh"), putFields("once", 20000, 1), nil); got != "+OK" {
 			t.Errorf("at the new process: %s", got)
 		}
-		if got := fresh.put(id("good"), fields("once", 20000, 10+i), nil); got != "+OK" {
+		if got := fresh.put(id("good"), putFields("once", 20000, 10+i), nil); got != "+OK" {
 			t.Errorf("an id that the old process took on: %s", got)
 		}
-		io.WriteString(half, strings.TrimPrefix(putText(id("half"), fields("once", 20000, 1), nil), "*5\r\n$7\r\nMSG.PUT\r\n"))
-		if got := half.line(); got != "+OK" {
+		io.WriteString(half, strings.TrimPrefix(putCommand(id("half"), putFields("once", 20000, 1), nil), "*5\r\n$7\r\nMSG.PUT\r\n"))
+		if got := half.readLine(); got != "+OK" {
 			t.Errorf("a request under way: %s", got)
 		}
-		if _, err := half.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := half.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("after its answer: %v", err)
 		}
-		waitFor(t, "what came in meanwhile", func() bool { return plain.count(id("fresh")) == 1 && plain.count(id("half")) == 1 })
+		waitFor(t, "what came in meanwhile", func() bool { return plain.callCount(id("fresh")) == 1 && plain.callCount(id("half")) == 1 })
 		close(x.gate.open)
 		old.ended(t)
 		waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice(id("bad")); return ok && n.Outcome == noticeGivenUp })
-		x.told.then(nil)
-		waitFor(t, "what was told to wait", func() bool { return x.told.count(id("told"))+x.told.count(id("nowhere")) >= 3 })
+		x.told.respondWith(nil)
+		waitFor(t, "what was told to wait", func() bool { return x.told.callCount(id("told"))+x.told.callCount(id("nowhere")) >= 3 })
 		if waited := time.Since(*x.toldAt.Load()); waited < 2500*time.Millisecond {
 			t.Errorf("sent after %v, a wait of 2.5 s was told", waited)
 		}
 		for ep, name := range map[*fakeEndpoint]string{x.good: "good", x.bad: "bad"} {
-			if n := ep.count(id(name)); n != 1 {
+			if n := ep.callCount(id(name)); n != 1 {
 				t.Errorf("%s went out %d times", id(name), n)
 			}
 		}
@@ -210,8 +210,8 @@
 					cl = dialClient(t, s.env["ROUTER_LISTEN"])
 				}
 				id := fmt.Sprintf("m%d", n.Add(1))
-				io.WriteString(cl, putText(id, fields("once", 20000, 1), nil))
-				line, err := cl.in.ReadString('\n')
+				io.WriteString(cl, putCommand(id, putFields("once", 20000, 1), nil))
+				line, err := cl.reader.ReadString('\n')
 				switch {
 				case err != nil: // closed between requests: it is sent once more on a new connection
 					again.Add(1)
@@ -243,8 +243,8 @@
 	for _, id := range ids { // on a busy machine more may come than is held
 		var n notice
 		ended := false
-		waitFor(t, "the end of "+id, func() bool { n, ended = disc.notice(id); return ended || ep.count(id) > 0 })
-		if c := ep.count(id); ended && (c != 0 || n.Outcome != noticeHandedBack) || !ended && c != 1 {
+		waitFor(t, "the end of "+id, func() bool { n, ended = disc.notice(id); return ended || ep.callCount(id) > 0 })
+		if c := ep.callCount(id); ended && (c != 0 || n.Outcome != noticeHandedBack) || !ended && c != 1 {
 			t.Errorf("%s went out %d times and was ended by %+v", id, c, n)
 		}
 		if ended {
@@ -267,13 +267,13 @@
 	old := s.start(t)
 	cl := dialClient(t, s.env["ROUTER_LISTEN"])
 	for id, dest := range map[string]int{"held": 1, "out": 2} {
-		if got := cl.put(id, fields("once", 20000, dest), nil); got != "+OK" {
+		if got := cl.put(id, putFields("once", 20000, dest), nil); got != "+OK" {
 			t.Fatal(got)
 		}
 	}
 	waitFor(t, "the calls", func() bool {
 		text, _ := os.ReadFile(filepath.Join(s.env["ROUTER_STATE"], walFileName))
-		return strings.Contains(string(text), `"kind":"outcome","id":"held"`) && stuck.count("out") == 1
+		return strings.Contains(string(text), `"kind":"outcome","id":"held"`) && stuck.callCount("out") == 1
 	})
 	old.signal(t, syscall.SIGSTOP)
 	began := time.Now()
@@ -282,17 +282,17 @@
 		t.Errorf("ready after %v", took)
 	}
 	fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := fresh.put("fresh", fields("plain", 20000, 2), nil); got != "+OK" {
+	if got := fresh.put("fresh", putFields("plain", 20000, 2), nil); got != "+OK" {
 		t.Errorf("beside the old process: %s", got)
 	}
-	if n := stuck.count("out"); n != 1 {
+	if n := stuck.callCount("out"); n != 1 {
 		t.Errorf("went out %d times beside its owner", n)
 	}
-	shut.then(nil)
+	shut.respondWith(nil)
 	old.kill()
-	waitFor(t, "what the old one held", func() bool { return shut.count("held") == 2 })
+	waitFor(t, "what the old one held", func() bool { return shut.callCount("held") == 2 })
 	waitFor(t, "the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := stuck.count("out"); n != 1 {
+	if n := stuck.callCount("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
 }
@@ -302,17 +302,17 @@
 func TestUpgradeNewFails(t *testing.T) {
 	g := newGate()
 	ep := newFakeEndpoint(t, g.answer)
-	shut := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	shut := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	s := newSite(t, newFakeDiscovery(t, ep.member("s-1", 1), shut.member("s-2", 2)))
 	old := s.start(t)
 	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("out", fields("once", 20000, 1), nil); got != "+OK" {
+	if got := cl.put("out", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	if got := cl.put("held", fields("once", 20000, 2), nil); got != "+OK" {
+	if got := cl.put("held", putFields("once", 20000, 2), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "the calls", func() bool { return g.entered.Load() == 1 && shut.count("held") >= 1 })
+	waitFor(t, "the calls", func() bool { return g.entered.Load() == 1 && shut.callCount("held") >= 1 })
 	t.Setenv("TMPDIR", s.env["TMPDIR"])
 	for name, lines := range map[string]string{"gone at once": "", "gone after hello": `{"hello":{}}`,
 		"gone after take": `{"hello":{}}{"take":true}`, "noise": "\x00\xff{{", "hangs": `{"hello":{}}{"take":true}`} {
@@ -332,17 +332,17 @@
 		waitFor(t, "service, "+name, func() bool {
 			cl := dialClient(t, s.env["ROUTER_LISTEN"])
 			defer cl.Close()
-			io.WriteString(cl, putText(id, fields("plain", 20000, 2), nil))
-			line, err := cl.in.ReadString('\n')
+			io.WriteString(cl, putCommand(id, putFields("plain", 20000, 2), nil))
+			line, err := cl.reader.ReadString('\n')
 			return err == nil && line == "+OK\r\n"
 		})
 	}
 	close(g.open)
 	s.start(t)
 	old.ended(t)
-	shut.then(nil)
-	waitFor(t, "what waited", func() bool { return shut.count("held") >= 2 && shut.count("after-hangs") >= 1 })
-	if n := ep.count("out"); n != 1 {
+	shut.respondWith(nil)
+	waitFor(t, "what waited", func() bool { return shut.callCount("held") >= 2 && shut.callCount("after-hangs") >= 1 })
+	if n := ep.callCount("out"); n != 1 {
 		t.Errorf("went out %d times", n)
 	}
 }
@@ -355,25 +355,25 @@
 	s := newSite(t, disc)
 	old := s.start(t)
 	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("once", fields("once", 20000, 1), nil); got != "+OK" {
+	if got := cl.put("once", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	if got := cl.put("twice", fields("plain", 20000, 1), nil); got != "+OK" {
+	if got := cl.put("twice", putFields("plain", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "a call", func() bool { return stuck.count("once")+stuck.count("twice") >= 1 })
+	waitFor(t, "a call", func() bool { return stuck.callCount("once")+stuck.callCount("twice") >= 1 })
 	first := "once"
-	if stuck.count("twice") > 0 {
+	if stuck.callCount("twice") > 0 {
 		first = "twice"
 	}
 	s.start(t)
-	stuck.then(nil)
+	stuck.respondWith(nil)
 	old.kill()
 	if first == "once" {
 		waitFor(t, "notice", func() bool { n, ok := disc.notice("once"); return ok && n.Outcome == noticeGivenUp })
 	}
-	waitFor(t, "the other", func() bool { return stuck.count("twice") >= 1 })
-	if n := stuck.count("once"); n != 1 && first == "once" {
+	waitFor(t, "the other", func() bool { return stuck.callCount("twice") >= 1 })
+	if n := stuck.callCount("once"); n != 1 && first == "once" {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
 }
@@ -386,10 +386,10 @@
 	old.kill()
 	s.start(t)
 	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("m", fields("once", 20000, 1), nil); got != "+OK" {
+	if got := cl.put("m", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
+	waitFor(t, "the call", func() bool { return ep.callCount("m") == 1 })
 }
 
 // Guards the last words of a process that ends: they are heard even where the
@@ -437,10 +437,10 @@
 	g := newGate()
 	ep := newFakeEndpoint(t, g.answer)
 	disc := newFakeDiscovery(t, ep.member("s-1", 1))
-	s := &site{env: testConfig(t, disc, 3)}
+	s := &site{env: writeTestConfig(t, disc, 3)}
 	old := s.start(t)
 	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("out", fields("once", 20000, 1), nil); got != "+OK" {
+	if got := cl.put("out", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
 	waitFor(t, "the call", func() bool { return g.entered.Load() == 1 })
@@ -451,15 +451,15 @@
 	waitFor(t, "the new class", func() bool {
 		cl := dialClient(t, s.env["ROUTER_LISTEN"])
 		defer cl.Close()
-		return cl.put(fmt.Sprintf("x%d", seq.Add(1)), fields("extra", 20000, 1), nil) == "+OK"
+		return cl.put(fmt.Sprintf("x%d", idSequence.Add(1)), putFields("extra", 20000, 1), nil) == "+OK"
 	})
 	fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := fresh.put("fresh", fields("once", 20000, 1), nil); got != "+OK" {
+	if got := fresh.put("fresh", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Error(got)
 	}
 	close(g.open)
 	old.ended(t)
-	waitFor(t, "both", func() bool { return ep.count("out") == 1 && ep.count("fresh") == 1 })
+	waitFor(t, "both", func() bool { return ep.callCount("out") == 1 && ep.callCount("fresh") == 1 })
 	if n, ok := disc.notice("out"); ok {
 		t.Errorf("a delivered message was ended by %+v", n)
 	}
--- a/internal/relay/hangup_test.go
+++ b/internal/relay/hangup_test.go
@@ -15,7 +15,7 @@
 // expectCleanEOF fails the test where the connection is reset or brings further bytes before its end.
 func (c *testClient) expectCleanEOF() {
 	c.t.Helper()
-	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
+	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
 		c.t.Errorf("end of the connection: got bytes %q and error %v, want neither", rest, err)
 	}
 }
@@ -25,7 +25,7 @@
 func TestPipelineWithProtocolError(t *testing.T) {
 	const commands = 30
 	for name, trailing := range map[string]string{"nothing": "",
-		"a request":  putText("trailing", fields("plain", 8000, 1), nil),
+		"a request":  putCommand("trailing", putFields("plain", 8000, 1), nil),
 		"many bytes": strings.Repeat("x", 200<<10)} {
 		for malformed, text := range map[string]string{"no prefix": "nonsense\r\n", "no length": "*1\r\n$x\r\n"} {
 			t.Run(name+" after "+malformed, func(t *testing.T) {
@@ -39,17 +39,17 @@
 				client := dialClient(t, addr)
 				var pipeline strings.Builder
 				for i := range commands {
-					pipeline.WriteString(putText(fmt.Sprintf("m%d", i), fields("plain", 8000, 1), nil))
+					pipeline.WriteString(putCommand(fmt.Sprintf("m%d", i), putFields("plain", 8000, 1), nil))
 				}
 				pipeline.WriteString(text)
 				pipeline.WriteString(trailing)
 				io.WriteString(client, pipeline.String())
 				for i := range commands {
-					if reply := client.line(); reply != "+OK" || !<-written {
+					if reply := client.readLine(); reply != "+OK" || !<-written {
 						t.Fatalf("reply %d: got %q, want +OK, reported as written", i, reply)
 					}
 				}
-				if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+				if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 					t.Errorf("malformed command: got reply %q, want an error reply", reply)
 				}
 				client.expectCleanEOF()
@@ -107,7 +107,7 @@
 			var client *testClient
 			dialled, notReceived := make(chan struct{}), make(chan struct{})
 			written := make(chan bool, 4)
-			server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) {
+			server := newClients(parseTestConfig(t), clock.System(), discardLogger(), func(request *putRequest) {
 				if request.record.ID == "during-close" {
 					t.Error("a message was taken after the connection was closed")
 				}
@@ -119,13 +119,13 @@
 			listener := &wrappingListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
 				return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
 					<-dialled
-					io.WriteString(client, putText("during-close", fields("plain", 8000, 1), nil))
+					io.WriteString(client, putCommand("during-close", putFields("plain", 8000, 1), nil))
 				}}
 			}}
 			go server.serve(listener)
 			client = dialClient(t, listener.Addr().String())
 			close(dialled)
-			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
+			io.WriteString(client, putCommand("m", putFields("plain", 8000, 1), nil))
 			if !<-written {
 				t.Error("the first reply was reported as not written, want written")
 			}
@@ -140,7 +140,7 @@
 				return true
 			})
 			closeConns(server)
-			if reply := client.line(); reply != "+OK" {
+			if reply := client.readLine(); reply != "+OK" {
 				t.Errorf("got reply %q, want +OK", reply)
 			}
 			client.expectCleanEOF()
@@ -156,7 +156,7 @@
 // TestRestOfCommandArrivesDuringEviction: a connection that stalled in the middle of a command is evicted. Where the
 // rest of the command arrives while the error reply is written, the client still receives that reply.
 func TestRestOfCommandArrivesDuringEviction(t *testing.T) {
-	text := putText("half", fields("plain", 8000, 1), []byte("body"))
+	text := putCommand("half", putFields("plain", 8000, 1), []byte("body"))
 	var client *testClient
 	dialled, notReceived := make(chan struct{}), make(chan struct{})
 	server, addr, _ := serveFaultyConns(t, replyOK, func(tcp *net.TCPConn) net.Conn {
@@ -183,7 +183,7 @@
 		conn.evict()
 	}
 	server.mu.Unlock()
-	if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+	if reply := client.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 		t.Errorf("got reply %q, want an error reply", reply)
 	}
 	client.expectCleanEOF()
@@ -259,10 +259,10 @@
 	for _, call := range []string{"nonsense\n", strings.Repeat("x", 64<<10), "READY\n" + strings.Repeat("x", 64<<10)} {
 		listener := listenLocal(t)
 		go (&operatorPort{calls: operatorCalls{"READY": func() (string, bool) { return "ready", true }},
-			clock: clock.System(), log: quietLog()}).serve(listener)
+			clock: clock.System(), log: discardLogger()}).serve(listener)
 		client := dialClient(t, listener.Addr().String())
 		io.WriteString(client, call)
-		if reply := client.line(); !strings.HasPrefix(reply, "NAK ") && !strings.HasPrefix(reply, "ACK ") {
+		if reply := client.readLine(); !strings.HasPrefix(reply, "NAK ") && !strings.HasPrefix(reply, "ACK ") {
 			t.Errorf("got reply %q, want ACK or NAK", reply)
 		}
 		client.expectCleanEOF()
--- a/internal/relay/ops_test.go
+++ b/internal/relay/ops_test.go
@@ -54,18 +54,18 @@
 // and delivered, the process keeps running, and UNDRAIN restores normal service.
 func TestDrain(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
 	env["ROUTER_OPS"] = freeAddr(t)
 	process := startChild(t, env)
 	waitForOperatorPort(t, env["ROUTER_OPS"])
 	idle, incomplete := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
 	for _, client := range []*testClient{idle, incomplete} {
 		io.WriteString(client, pingCommand)
-		if reply := client.line(); reply != "+PONG" {
+		if reply := client.readLine(); reply != "+PONG" {
 			t.Fatal(reply)
 		}
 	}
-	text := putText("half", fields("plain", 8000, 1), []byte("body"))
+	text := putCommand("half", putFields("plain", 8000, 1), []byte("body"))
 	io.WriteString(incomplete, text[:20])
 	time.Sleep(50 * time.Millisecond) // lets the first bytes be read; with too short a wait the test covers less
 	for range 2 {
@@ -76,30 +76,30 @@
 	if reply := callOperatorPort(t, env["ROUTER_OPS"], "READY\r\n"); !strings.HasPrefix(reply, "NAK ") {
 		t.Errorf("READY while drained: got reply %q, want NAK", reply)
 	}
-	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: got error %v, want EOF", err)
 	}
 	io.WriteString(incomplete, text[20:])
-	if reply := incomplete.line(); reply != "+OK" {
+	if reply := incomplete.readLine(); reply != "+OK" {
 		t.Errorf("request in flight: got reply %q, want +OK", reply)
 	}
-	if _, err := incomplete.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := incomplete.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the reply to the request in flight: got error %v, want EOF", err)
 	}
 	late := dialClient(t, env["ROUTER_LISTEN"])
-	if reply := late.put("late", fields("plain", 8000, 1), nil); reply != "+OK" {
+	if reply := late.put("late", putFields("plain", 8000, 1), nil); reply != "+OK" {
 		t.Errorf("message on a new connection: got reply %q, want +OK", reply)
 	}
-	if _, err := late.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := late.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("new connection after its first reply: got error %v, want EOF", err)
 	}
 	pinged := dialClient(t, env["ROUTER_LISTEN"])
 	io.WriteString(pinged, pingCommand)
-	if reply := pinged.line(); !strings.HasPrefix(reply, "-ERR ") {
+	if reply := pinged.readLine(); !strings.HasPrefix(reply, "-ERR ") {
 		t.Errorf("PING while drained: got reply %q, want an error reply", reply)
 	}
 	waitFor(t, "the delivery of the messages taken", func() bool {
-		return ep.count("half") == 1 && ep.count("late") == 1
+		return ep.callCount("half") == 1 && ep.callCount("late") == 1
 	})
 	for range 2 {
 		if reply := callOperatorPort(t, env["ROUTER_OPS"], "UNDRAIN\n"); !strings.HasPrefix(reply, "ACK ") {
@@ -112,7 +112,7 @@
 	kept := dialClient(t, env["ROUTER_LISTEN"])
 	for range 2 { // the connection stays open after its first reply
 		io.WriteString(kept, pingCommand)
-		if reply := kept.line(); reply != "+PONG" {
+		if reply := kept.readLine(); reply != "+PONG" {
 			t.Fatalf("PING after UNDRAIN: got reply %q, want +PONG", reply)
 		}
 	}
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), replyOK, func(*putRequest, bool) {})
+	server := newClients(parseTestConfig(t), clock.System(), discardLogger(), replyOK, func(*putRequest, bool) {})
 	serverConn := &clientConn{Conn: conn, clock: clock.System(), sentCommand: true}
 	server.mu.Lock()
 	serverConn.beginClose()
@@ -160,7 +160,7 @@
 // TestOperatorPort: an unknown or incomplete call gets NAK, and connections that do not finish their call, however
 // many, keep no operator out.
 func TestOperatorPort(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_OPS"] = freeAddr(t)
 	startChild(t, env)
 	waitForOperatorPort(t, env["ROUTER_OPS"])
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := testConfig(t, newFakeDiscovery(t), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_OPS"] = listener.Addr().String()
 	startChild(t, env) // waits for PONG
 	listener.Close()
--- a/internal/relay/outage_test.go
+++ b/internal/relay/outage_test.go
@@ -21,7 +21,7 @@
 // again, and none is left open alone for longer.
 func TestNextRequestIsInTime(t *testing.T) {
 	for _, relays := range []int{1, 3, 30, 300, 3000, 100000} {
-		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
+		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), discardLogger(), nil)
 		for _, due := range []time.Duration{-time.Hour, -time.Second, time.Second, knownAfterSilence} {
 			for n := range 100 {
 				d.knownBy = d.clock.Now().Add(due)
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -22,11 +22,11 @@
 	}
 	away := Member{ID: "s-1", HostPort: ln.Addr().String(), Locality: "a", Flavor: "k", Cell: 1, Phase: phaseUp, Size: 1000}
 	ln.Close() // connections there are refused
-	env := testConfig(t, newFakeDiscovery(t, away), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t, away), 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 6 {
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 1), nil); s != "+OK" {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
--- a/internal/relay/process_end_test.go
+++ b/internal/relay/process_end_test.go
@@ -15,7 +15,7 @@
 	got := make(chan *putRequest, 2)
 	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
 	whole, half := dialClient(t, addr), dialClient(t, addr)
-	io.WriteString(whole, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(whole, putCommand("m", putFields("plain", 8000, 1), nil))
 	q := <-got
 	io.WriteString(half, "*5\r\n$7\r\n")
 	waitFor(t, "half a command", func() bool {
@@ -29,12 +29,12 @@
 		return false
 	})
 	c.stopReadingAll()
-	if s := half.line(); !strings.HasPrefix(s, "-ERR ") {
+	if s := half.readLine(); !strings.HasPrefix(s, "-ERR ") {
 		t.Errorf("half a command: %q", s)
 	}
 	half.expectCleanEOF()
 	q.sendReply(resp.OK)
-	if s := whole.line(); s != "+OK" || !<-said {
+	if s := whole.readLine(); s != "+OK" || !<-said {
 		t.Errorf("answer %q", s)
 	}
 	whole.expectCleanEOF()
@@ -43,18 +43,18 @@
 
 // The same in a process that ends: a command that is still half way then is told so.
 func TestHalfACommandAtTheEndOfTheProcess(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
-	env[commandTimeEnv] = "1m"
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
+	env[commandTimeoutEnv] = "1m"
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	io.WriteString(cl, pingCommand)
-	if s := cl.line(); s != "+PONG" {
+	if s := cl.readLine(); s != "+PONG" {
 		t.Fatal(s)
 	}
 	io.WriteString(cl, "*5\r\n$7\r\nMSG.PUT\r\n")
-	c.ready(t) // it has read what came before
+	c.waitReady(t) // it has read what came before
 	c.signal(t, syscall.SIGTERM)
-	if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
+	if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
 		t.Errorf("answer %q", s)
 	}
 	cl.expectCleanEOF()
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -44,10 +44,10 @@
 // changes nothing. The relay serves throughout, applies a further reload, and stops normally.
 func TestReload(t *testing.T) {
 	before, after, last := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	lost := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	lost := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	first := newFakeDiscovery(t, before.member("s-1", 1), lost.member("s-9", 9))
-	first.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
-	env := testConfig(t, first, 3)
+	first.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusInternalServerError })
+	env := writeTestConfig(t, first, 3)
 	relay := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id, fieldText string) {
@@ -56,9 +56,9 @@
 			t.Fatalf("put %s: got reply %s, want +OK", id, reply)
 		}
 	}
-	put("a", fields("plain", 8000, 1))
-	put("unconfirmed", fields("plain", 600, 9))
-	waitFor(t, "a message at the first endpoint", func() bool { return before.count("a") == 1 })
+	put("a", putFields("plain", 8000, 1))
+	put("unconfirmed", putFields("plain", 600, 9))
+	waitFor(t, "a message at the first endpoint", func() bool { return before.callCount("a") == 1 })
 	// A load of one message at a time runs during all that follows.
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -71,11 +71,11 @@
 			default:
 			}
 			id := fmt.Sprintf("load%d", i)
-			if reply := load.put(id, fields("plain", 8000, 1), nil); reply != "+OK" {
+			if reply := load.put(id, putFields("plain", 8000, 1), nil); reply != "+OK" {
 				t.Errorf("put under load: got reply %s, want +OK", reply)
 				return
 			}
-			for before.count(id)+after.count(id)+last.count(id) == 0 { // one at a time
+			for before.callCount(id)+after.callCount(id)+last.callCount(id) == 0 { // one at a time
 				select {
 				case <-stop:
 					return
@@ -86,20 +86,20 @@
 	}()
 	// The list at the second address has a lower revision; revisions of two addresses are not compared.
 	second := newFakeDiscovery(t, after.member("s-1", 1), lost.member("s-9", 9))
-	second.set(func(d *fakeDiscovery) { d.list.Revision = 0 })
+	second.update(func(d *fakeDiscovery) { d.list.Revision = 0 })
 	rewrite(t, env, moveTo(second, first.addr()))
 	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a watch at the second address", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
-		return second.fetches == 1 && len(second.froms) == 1 && second.froms[0] == "0"
+		return second.listFetches == 1 && len(second.watchRevisions) == 1 && second.watchRevisions[0] == "0"
 	})
 	waitFor(t, "a notice at the second address", func() bool { _, ok := second.notice("unconfirmed"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
-		id := fmt.Sprintf("b%d", seq.Add(1))
-		put(id, fields("plain", 8000, 1))
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
-		return after.count(id) == 1
+		id := fmt.Sprintf("b%d", idSequence.Add(1))
+		put(id, putFields("plain", 8000, 1))
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id) == 1 })
+		return after.callCount(id) == 1
 	})
 	rewrite(t, env, func(string) string { return "{" })
 	relay.signal(t, syscall.SIGHUP)
@@ -107,10 +107,10 @@
 		t.Fatal(err)
 	}
 	relay.signal(t, syscall.SIGHUP)
-	put("c", fields("plain", 8000, 1))
-	waitFor(t, "service under the old configuration", func() bool { return after.count("c") == 1 })
+	put("c", putFields("plain", 8000, 1))
+	waitFor(t, "service under the old configuration", func() bool { return after.callCount("c") == 1 })
 	third := newFakeDiscovery(t, last.member("s-1", 1))
-	fresh := testConfig(t, third, 3)
+	fresh := writeTestConfig(t, third, 3)
 	text, err := os.ReadFile(fresh["ROUTER_CONFIG"])
 	if err != nil {
 		t.Fatal(err)
@@ -120,14 +120,14 @@
 	}
 	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a message at the third list's endpoint", func() bool {
-		id := fmt.Sprintf("d%d", seq.Add(1))
-		put(id, fields("plain", 8000, 1))
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id)+last.count(id) == 1 })
-		return last.count(id) == 1
+		id := fmt.Sprintf("d%d", idSequence.Add(1))
+		put(id, putFields("plain", 8000, 1))
+		waitFor(t, id, func() bool { return before.callCount(id)+after.callCount(id)+last.callCount(id) == 1 })
+		return last.callCount(id) == 1
 	})
 	close(stop)
 	<-done
-	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.fetches }(); fetched != 1 {
+	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.listFetches }(); fetched != 1 {
 		t.Errorf("got %d requests for the list at the second address, want 1", fetched)
 	}
 	relay.signal(t, syscall.SIGTERM)
@@ -138,7 +138,7 @@
 
 // On a reload the file overrides the environment, for the discovery address only.
 func TestReloadPrecedence(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_DISCOVERY"], env["ROUTER_NAME"] = "127.0.0.1:9", "other"
 	getenv := func(k string) string { return env[k] }
 	start, err := LoadConfig(getenv)
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -17,7 +17,7 @@
 // Guards a running relay against files that were cut short or are wrong: each
 // is turned down whole, with its discovery, and the relay goes on as it was.
 func TestReplaces(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t), 3)
 	get := func(k string) string { return env[k] }
 	text, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil {
@@ -81,21 +81,21 @@
 // though the process is killed; a class that the file adds can be named at once.
 func TestRetune(t *testing.T) {
 	ep := newFakeEndpoint(t, hang)
-	shut := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	shut := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	disc := newFakeDiscovery(t, ep.member("s-1", 1), shut.member("s-2", 2))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id, class string, dest int, want string) {
 		t.Helper()
-		if s := cl.put(id, fields(class, 20000, dest), nil); !strings.HasPrefix(s, want) {
+		if s := cl.put(id, putFields(class, 20000, dest), nil); !strings.HasPrefix(s, want) {
 			t.Fatalf("%s of class %s: %s", id, class, s)
 		}
 	}
 	put("out", "once", 1, "+OK")
 	put("held", "once", 2, "+OK")
 	put("early", "extra", 1, "-ERR")
-	waitFor(t, "the calls", func() bool { return ep.count("out") == 1 && shut.count("held") >= 1 })
+	waitFor(t, "the calls", func() bool { return ep.callCount("out") == 1 && shut.callCount("held") >= 1 })
 	rewrite(t, env, func(s string) string {
 		return replace(`"repeat":"fragile"`, `"repeat":"retryable"`)(replace(`"classes":[`, `"classes":[`+strings.Replace(extraClass, "fragile", "dedup", 1)+",")(s))
 	})
@@ -106,16 +106,16 @@
 	// Now the class of what is held goes altogether.
 	rewrite(t, env, replace(`"name":"once"`, `"name":"other"`))
 	c.signal(t, syscall.SIGHUP)
-	waitFor(t, "its end", func() bool { return strings.HasPrefix(cl.put("y", fields("once", 20000, 1), nil), "-ERR") })
-	waitFor(t, "held goes on", func() bool { n := shut.count("held"); return n >= 2 })
+	waitFor(t, "its end", func() bool { return strings.HasPrefix(cl.put("y", putFields("once", 20000, 1), nil), "-ERR") })
+	waitFor(t, "held goes on", func() bool { n := shut.callCount("held"); return n >= 2 })
 	c.kill()
 	for _, e := range []*fakeEndpoint{ep, shut} {
-		e.then(nil)
+		e.respondWith(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "the one that never ran", func() bool { return shut.count("held") >= 3 })
+	waitFor(t, "the one that never ran", func() bool { return shut.callCount("held") >= 3 })
 	waitFor(t, "notice of the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := ep.count("out"); n != 1 {
+	if n := ep.callCount("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
 }
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -184,11 +184,11 @@
 	}
 	r.used = time.Now()
 	r.cl.SetDeadline(r.used.Add(30 * time.Second))
-	return r.cl.put(id, fields("plain", 20000, dest), nil)
+	return r.cl.put(id, putFields("plain", 20000, dest), nil)
 }
 
 func scaleConfig(t *testing.T, a *bigAgent, memoryMB int) map[string]string {
-	env := testConfig(t, &fakeDiscovery{Server: a.Server}, 3)
+	env := writeTestConfig(t, &fakeDiscovery{Server: a.Server}, 3)
 	rewrite(t, env, func(text string) string {
 		return strings.Replace(text, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
 	})
@@ -212,7 +212,7 @@
 	waitFor(r.t, fmt.Sprintf("a message for %d at its endpoint", dest), func() bool {
 		id := r.send(dest)
 		for range 20 {
-			if e.count(id) > 0 {
+			if e.callCount(id) > 0 {
 				return true
 			}
 			time.Sleep(time.Millisecond)
@@ -253,7 +253,7 @@
 	ready := time.Since(began)
 	for _, dest := range []int{0, fleetDests / 3, fleetDests - 1} {
 		id := r.send(dest)
-		waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) == 1 })
 	}
 	served := time.Since(began)
 	most, now := r.c.memory(t)
@@ -312,7 +312,7 @@
 	r.c, r.used = startChild(t, env), time.Time{}
 	ready = time.Since(began)
 	id := r.send(fleetDests/2 + 5000)
-	waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
+	waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) == 1 })
 	most, now = r.c.memory(t)
 	t.Logf("with a list: ready after %v, served after %v, %d MB at most, %d MB now", ready, time.Since(began), most, now)
 	if most >= 256 && !raceDetector {
@@ -341,7 +341,7 @@
 	env := scaleConfig(t, a, 64)
 	r := &scaleRelay{t: t, c: startChild(t, env)}
 	id := r.send(dests - 1)
-	waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
+	waitFor(t, "the call of "+id, func() bool { return ep.callCount(id) == 1 })
 	a.set(func() {
 		if a.fetches != 3 {
 			t.Errorf("the list was asked for %d times", a.fetches)
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -32,7 +32,7 @@
 	}
 	members[9] = held.member("s-held", 9)
 	d := newFakeDiscovery(t, members...)
-	env := testConfig(t, d, 3)
+	env := writeTestConfig(t, d, 3)
 	rewrite(t, env, func(text string) string {
 		text = strings.Replace(text, `"memory_mb":192,"sockets":1024`, fmt.Sprintf(`"memory_mb":%d,"sockets":%d`, leastMemory, leastSockets), 1)
 		return strings.Replace(text, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, mostListed), 1)
@@ -42,43 +42,43 @@
 	serve := func(at *fakeEndpoint, what string, dest int) {
 		t.Helper()
 		id := fmt.Sprintf("%s-%d", what, dest)
-		if s := cl.put(id, fields("plain", 20000, dest), []byte(what)); s != "+OK" {
+		if s := cl.put(id, putFields("plain", 20000, dest), []byte(what)); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
-		waitFor(t, "the call of "+id, func() bool { return at.count(id) == 1 })
+		waitFor(t, "the call of "+id, func() bool { return at.callCount(id) == 1 })
 	}
 	for dest := mostListed - 1; dest > mostListed-1-leastSockets; dest-- {
 		serve(ep, "first", dest)
 	}
 
-	d.say(t, fmt.Sprintf(`{"revision":2,"complete":false,"members":[{"id":"s-%08x","cell":3,"phase":"removed"},`+
+	d.sendLine(t, fmt.Sprintf(`{"revision":2,"complete":false,"members":[{"id":"s-%08x","cell":3,"phase":"removed"},`+
 		`{"id":"s-new","host_port":%q,"locality":"b","flavor":"k","cell":3,"phase":"up","size":1000}]}`, 3, fresh.addr()))
-	d.say(t, `{"revision":3,"complete":false,"members":[]}`)
+	d.sendLine(t, `{"revision":3,"complete":false,"members":[]}`)
 	waitFor(t, "the change to be followed", func() bool {
 		id := fmt.Sprintf("moved-%d", fresh.total()+ep.total())
-		return cl.put(id, fields("plain", 20000, 3), nil) == "+OK" && fresh.total() > 0
+		return cl.put(id, putFields("plain", 20000, 3), nil) == "+OK" && fresh.total() > 0
 	})
 
 	rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_held":100`, `"most_held":90`, 1) })
 	c.signal(t, syscall.SIGHUP)
 	serve(ep, "signalled", 4)
 
-	if s := cl.put("held", fields("keyed", 20000, 9), nil); s != "+OK" {
+	if s := cl.put("held", putFields("keyed", 20000, 9), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	waitFor(t, "the call that hangs", func() bool { return held.count("held") == 1 })
+	waitFor(t, "the call that hangs", func() bool { return held.callCount("held") == 1 })
 	c.checkMemory(t)
 	c.kill()
 	c = startSmallChild(t, env)
-	held.then(nil)
-	waitFor(t, "what was owed before the restart", func() bool { return held.count("held") >= 2 })
+	held.respondWith(nil)
+	waitFor(t, "what was owed before the restart", func() bool { return held.callCount("held") >= 2 })
 	cl = dialClient(t, env["ROUTER_LISTEN"])
 	serve(ep, "again", 5)
 	c.checkMemory(t)
 
 	heir := startSmallChild(t, env)
-	c.ended(t)    // it has handed all over
-	heir.ready(t) // the address was free for a moment: the first to answer may have been the old one
+	c.ended(t)        // it has handed all over
+	heir.waitReady(t) // the address was free for a moment: the first to answer may have been the old one
 	cl = dialClient(t, env["ROUTER_LISTEN"])
 	serve(ep, "inherited", 6)
 	heir.checkMemory(t)
@@ -97,7 +97,7 @@
 	t.Helper()
 	c := &child{cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, leastSockets), os.Args[0]), env: env}
 	c.launch(t)
-	c.ready(t)
+	c.waitReady(t)
 	return c
 }
 
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -32,7 +32,7 @@
 // A connection that comes up when the window for repeats is over carries nothing that may have run before,
 // and one on which it passes between the first bytes of a call and its last brings that call to no end.
 func TestNothingIsRepeatedPastItsWindow(t *testing.T) {
-	addr, ids := batchTaker(t)
+	addr, ids := acceptingEndpoint(t)
 	for _, atLastByte := range []bool{false, true} {
 		for _, alone := range []bool{false, true} {
 			h := testPool(t).forHost(addr)
@@ -84,7 +84,7 @@
 	for _, over := range []bool{false, true} {
 		ep := newFakeEndpoint(t, hang)
 		disc := newFakeDiscovery(t, ep.member("s-1", 1))
-		env := testConfig(t, disc, 3)
+		env := writeTestConfig(t, disc, 3)
 		window := 20000
 		if over {
 			window = 1000
@@ -92,23 +92,23 @@
 		windowOf(t, env, window)
 		c := startChild(t, env)
 		cl := dialClient(t, env["ROUTER_LISTEN"])
-		if s := cl.put("m", fields("keyed", 20000, 1), nil); s != "+OK" {
+		if s := cl.put("m", putFields("keyed", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
-		waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
+		waitFor(t, "the call", func() bool { return ep.callCount("m") == 1 })
 		c.kill()
-		ep.then(nil)
+		ep.respondWith(nil)
 		if over {
 			time.Sleep(time.Duration(window) * time.Millisecond)
 		}
 		startChild(t, env)
 		if over {
 			waitFor(t, "its end", func() bool { n, ok := disc.notice("m"); return ok && n.Outcome == noticeGivenUp })
-			if n := ep.count("m"); n != 1 {
+			if n := ep.callCount("m"); n != 1 {
 				t.Errorf("called %d times, the second past its window", n)
 			}
 		} else {
-			waitFor(t, "the second call", func() bool { return ep.count("m") == 2 })
+			waitFor(t, "the second call", func() bool { return ep.callCount("m") == 2 })
 		}
 	}
 }
@@ -119,7 +119,7 @@
 func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
 	ep, stuck := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
 	disc := newFakeDiscovery(t, ep.member("s-1", 1), stuck.member("s-2", 2))
-	env := testConfig(t, disc, 3)
+	env := writeTestConfig(t, disc, 3)
 	ops, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -131,13 +131,13 @@
 	})
 	c := startSmallChild(t, env)
 	first := dialClient(t, env["ROUTER_LISTEN"])
-	if s := first.put("before", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := first.put("before", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	disc.set(func(d *fakeDiscovery) { d.silent = true })
+	disc.update(func(d *fakeDiscovery) { d.silent = true })
 	disc.CloseClientConnections()
 	open := dialClient(t, env["ROUTER_LISTEN"]) // its request is read by halves, all the time
-	text := putText("open", fields("plain", 20000, 1), []byte("body"))
+	text := putCommand("open", putFields("plain", 20000, 1), []byte("body"))
 	io.WriteString(open, text[:len(text)/2])
 	for range 4 * leastSockets {
 		conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
@@ -146,9 +146,9 @@
 		}
 		defer conn.Close()
 	}
-	waitFor(t, "discovery to be asked", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return disc.unheard >= 2 })
+	waitFor(t, "discovery to be asked", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return disc.requestsWhileSilent >= 2 })
 	io.WriteString(open, text[len(text)/2:])
-	if s := open.line(); s != "+OK" {
+	if s := open.readLine(); s != "+OK" {
 		t.Errorf("the request that was open: %q", s)
 	}
 	for i := range 8 {
@@ -161,7 +161,7 @@
 			}
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(10 * time.Second))
-			io.WriteString(conn, putText(id, fields("plain", 20000, 1+i%2), nil))
+			io.WriteString(conn, putCommand(id, putFields("plain", 20000, 1+i%2), nil))
 			var b [16]byte
 			n, _ := conn.Read(b[:])
 			s = string(b[:n])
@@ -171,7 +171,7 @@
 			t.Errorf("%s: %q", id, s)
 		}
 		if i%2 == 0 {
-			waitFor(t, "its call", func() bool { return ep.count(id) == 1 })
+			waitFor(t, "its call", func() bool { return ep.callCount(id) == 1 })
 		}
 	}
 	waitFor(t, "the operators' answer", func() bool {
@@ -191,8 +191,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d descriptors of %d", len(fds), leastSockets)
-	disc.set(func(d *fakeDiscovery) { d.silent = false })
-	disc.say(t, `{"revision":2,"members":[{"id":"s-1","cell":1,"phase":"draining","host_port":"127.0.0.1:1"}]}`)
+	disc.update(func(d *fakeDiscovery) { d.silent = false })
+	disc.sendLine(t, `{"revision":2,"members":[{"id":"s-1","cell":1,"phase":"draining","host_port":"127.0.0.1:1"}]}`)
 }
 
 // Processes that are started all at once with discovery down, a full log and 1,024 endpoints on the list they
@@ -200,7 +200,7 @@
 func TestReadyAfterARestart(t *testing.T) {
 	const processes = 6
 	disc := newFakeDiscovery(t)
-	disc.set(func(d *fakeDiscovery) { d.silent = true })
+	disc.update(func(d *fakeDiscovery) { d.silent = true })
 	hanging := newFakeEndpoint(t, hang)
 	var members []string
 	for i := range mostListed {
@@ -210,7 +210,7 @@
 	var envs []map[string]string
 	owed := 0
 	for range processes {
-		env := testConfig(t, disc, 3)
+		env := writeTestConfig(t, disc, 3)
 		rewrite(t, env, func(text string) string { return strings.Replace(text, `"settings"`, known, 1) })
 		cfg := parseTestConfig(t)
 		w, _ := openTestWAL(t, env["ROUTER_STATE"], 3<<20)
@@ -236,7 +236,7 @@
 		all = append(all, launchChild(t, env, nil))
 	}
 	for _, c := range all {
-		c.ready(t)
+		c.waitReady(t)
 	}
 	took := time.Since(began)
 	t.Logf("%d processes with %d messages each: the last is ready after %v", processes, owed, took)
@@ -249,12 +249,12 @@
 // became of it, and nothing is called. What may run any number of times is taken on again.
 func TestEndedIsKnownAfterARestart(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id, class string) {
 		t.Helper()
-		if s := cl.put(id, fields(class, 20000, 1), nil); s != "+OK" {
+		if s := cl.put(id, putFields(class, 20000, 1), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
@@ -272,11 +272,11 @@
 		for _, class := range []string{"once", "keyed", "plain"} {
 			put(class, class)
 		}
-		waitFor(t, "what may run again", func() bool { return ep.count("plain") == n+2 })
+		waitFor(t, "what may run again", func() bool { return ep.callCount("plain") == n+2 })
 		put(fmt.Sprint("marker", n), "once")
-		waitFor(t, "what is new", func() bool { return ep.count(fmt.Sprint("marker", n)) == 1 })
-		if ep.count("once") != 1 || ep.count("keyed") != 1 {
-			t.Fatalf("after %d starts: unsafe one called %d times, keyed one %d", n+1, ep.count("once"), ep.count("keyed"))
+		waitFor(t, "what is new", func() bool { return ep.callCount(fmt.Sprint("marker", n)) == 1 })
+		if ep.callCount("once") != 1 || ep.callCount("keyed") != 1 {
+			t.Fatalf("after %d starts: unsafe one called %d times, keyed one %d", n+1, ep.callCount("once"), ep.callCount("keyed"))
 		}
 	}
 }
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -55,7 +55,7 @@
 	if err := os.CopyFS(filepath.Join(copyDir, "state"), os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
-	w, pending := openFaultyWAL(t, filepath.Join(copyDir, "state"), osFolder{}, 1<<20, quietLog())
+	w, pending := openFaultyWAL(t, filepath.Join(copyDir, "state"), osFolder{}, 1<<20, discardLogger())
 	closeFaultyWAL(w)
 	found := map[string]*record{}
 	for _, r := range pending {
@@ -88,7 +88,7 @@
 	for written := range len(text) {
 		dir := t.TempDir()
 		folder := newFaultyFolder()
-		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+		w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 		mustAppend(t, w, acceptedWithRepeat("a", decide.Idempotent))
 		folder.fail(syscall.ENOSPC, written, opWrite, opTruncate)
 		if err := w.append(acceptedWithRepeat("b", decide.Idempotent), false); !errors.Is(err, syscall.ENOSPC) {
@@ -116,7 +116,7 @@
 		t.Run(fmt.Sprint(operations), func(t *testing.T) {
 			dir := t.TempDir()
 			folder := newFaultyFolder()
-			w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+			w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 			mustAppend(t, w, acceptedWithRepeat("safe", decide.Idempotent), acceptedWithRepeat("unsafe", decide.NonIdempotent),
 				acceptedWithRepeat("ended", decide.NonIdempotent),
 				acceptedWithRepeat("done", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "done", At: 10},
@@ -191,7 +191,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			folder := newFaultyFolder()
-			w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
+			w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, discardLogger())
 			mustAppend(t, w, test.message)
 			folder.fail(syscall.EIO, 0, modifyingOperations...)
 			for range 2 { // the first append detects the failure
@@ -208,7 +208,7 @@
 // process would send the message.
 func TestNoticeIsSentAtDeadline(t *testing.T) {
 	folder := newFaultyFolder()
-	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
+	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, discardLogger())
 	m := acceptedWithRepeat("m", decide.Idempotent)
 	m.Deadline = clock.System().Now().Add(30 * time.Millisecond)
 	mustAppend(t, w, m)
@@ -299,7 +299,7 @@
 	for killAfter := 0; ; killAfter += 7 {
 		dir := t.TempDir()
 		folder := newFaultyFolder()
-		w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+		w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 		mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent), acceptedWithRepeat("b", decide.Idempotent),
 			&record{Kind: recordAttempt, ID: "a", At: 5},
 			acceptedWithRepeat("c", decide.Idempotent), &record{Kind: recordEnd, ID: "c"})
@@ -335,7 +335,7 @@
 			state := func(killAfter int) string {
 				dir := t.TempDir()
 				folder := newFaultyFolder()
-				w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+				w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 				mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "a", At: 10},
 					&record{Kind: recordOutcome, ID: "a"})
 				folder.killAfter = killAfter
@@ -373,7 +373,7 @@
 	}
 	folder := newFaultyFolder()
 	folder.fail(syscall.EROFS, 0, modifyingOperations...)
-	w, pending := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+	w, pending := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 	if len(pending) != 2 || !w.health.failing || w.complete() {
 		t.Fatalf("recovered %d messages, want 2; failing %v, want true; the log must not be complete", len(pending),
 			w.health.failing)
@@ -396,7 +396,7 @@
 func TestAdoptsWhileFolderFails(t *testing.T) {
 	dir := t.TempDir()
 	folder := newFaultyFolder()
-	w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
+	w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
 	leftPath := filepath.Join(dir, walFileName+".1.0")
 	text, err := acceptedWithRepeat("left", decide.NonIdempotent).encode(nil)
 	if err != nil {
@@ -450,7 +450,7 @@
 			if err != nil {
 				continue
 			}
-			if w, _, err = openWAL(slots, 1<<20, func(string) bool { return false }, clock.System(), quietLog()); err != nil {
+			if w, _, err = openWAL(slots, 1<<20, func(string) bool { return false }, clock.System(), discardLogger()); err != nil {
 				slots.release()
 			}
 		}
@@ -487,7 +487,7 @@
 func TestLogWithoutFileIsNotComplete(t *testing.T) {
 	folder := newFaultyFolder()
 	folder.fail(syscall.EIO, 0, opOpen)
-	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, quietLog())
+	w, _ := openFaultyWAL(t, t.TempDir(), folder, 1<<20, discardLogger())
 	if w.file != nil || w.removeRecovered != nil || len(w.health.postponed) != 0 {
 		t.Fatalf("got file %v and %d postponed records, want none", w.file, len(w.health.postponed))
 	}
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -247,7 +247,7 @@
 	if err != nil {
 		r.tb.Fatal(err)
 	}
-	w, pending, err := openWAL(slots, modelDiskBytes, func(string) bool { return false }, r.clock, quietLog())
+	w, pending, err := openWAL(slots, modelDiskBytes, func(string) bool { return false }, r.clock, discardLogger())
 	if err != nil {
 		r.tb.Fatal(err)
 	}
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	testSlots[dir] = slots
-	w, pending, err := openWAL(slots, limit, func(string) bool { return false }, clock.System(), quietLog())
+	w, pending, err := openWAL(slots, limit, func(string) bool { return false }, clock.System(), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 	f.Add(valid)
 	f.Add([]byte(recordMarker + "\x00\x00\x00\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := newWAL(1<<20, clock.System(), quietLog())
+		w := newWAL(1<<20, clock.System(), discardLogger())
 		w.replaying = true
 		w.replay(append(b, valid...))
 		if w.pending["a"] == nil && !strings.Contains(string(b), recordMarker) {
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -348,13 +348,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			discovery := newFakeDiscovery(t)
-			env := testConfig(t, discovery, 3)
+			env := writeTestConfig(t, discovery, 3)
 			wall := newTestWallClock(t, env)
 			startChild(t, env)
 			wall.step(t, step)
 			client := dialClient(t, env["ROUTER_LISTEN"])
 			handedIn := time.Now()
-			if s := client.put("m", fields("plain", 3000, 9), nil); s != "+OK" {
+			if s := client.put("m", putFields("plain", 3000, 9), nil); s != "+OK" {
 				t.Fatal(s)
 			}
 			for {
@@ -383,15 +383,15 @@
 	r.start()
 	doubtful := r.put("doubtful", "keyed", longDeadline, servedDest)
 	untried := r.put("untried", "keyed", longDeadline, otherDest)
-	waitFor(t, "the call", func() bool { return endpoint.count("doubtful") == 1 })
-	r.relay.kill()
-	endpoint.then(nil)
+	waitFor(t, "the call", func() bool { return endpoint.callCount("doubtful") == 1 })
+	r.process.kill()
+	endpoint.respondWith(nil)
 	r.discovery.replaceMember(endpoint.member("s-2", otherDest))
-	r.env[bootEnv] = "another"
+	r.env[bootIDEnv] = "another"
 	r.restartStepped(0)
 	r.expectDelivered(untried, endpoint, 1)
 	r.awaitNotice(doubtful, endpoint)
-	if calls := endpoint.count("doubtful"); calls != 1 {
+	if calls := endpoint.callCount("doubtful"); calls != 1 {
 		t.Errorf("got %d calls of the message in doubt, want 1", calls)
 	}
 	r.verify()
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -174,7 +174,7 @@
 
 // Refusals are answered by pauses, but there is another try before word counts as told.
 func TestRefusedTriesFitIntoTheTime(t *testing.T) {
-	d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil)
+	d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), discardLogger(), nil)
 	for _, left := range []time.Duration{5 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
 		d.knownBy = d.clock.Now().Add(left)
 		if got := d.refusalDelay(6, 0.999); got >= left {
