--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	lists, done := make(chan *List, 64), make(chan struct{})
-	client := newDiscovery(agent.addr(), 3, -1, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	client := newDiscovery(agent.addr(), 3, -1, clock.System(), discardLogger(), collectLists(func(l *List) { lists <- l }))
 	client.silenceTimeout = silence
 	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -61,14 +61,14 @@
 		t.Fatalf("first list: got %+v, want a full list with one member", l)
 	}
 	member.Phase = phaseDraining
-	d.say(t, deltaJSON(2, member))
+	d.sendLine(t, deltaJSON(2, member))
 	if l := nextList(t, lists); l.Revision != 2 || l.Complete || l.Members[0].Phase != phaseDraining {
 		t.Fatalf("second list: got %+v, want the delta of revision 2", l)
 	}
-	d.set(func(d *fakeDiscovery) { close(d.lines[0]) }) // closes the connection
-	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 2 })
+	d.update(func(d *fakeDiscovery) { close(d.watches[0]) }) // closes the connection
+	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 2 })
 	d.mu.Lock()
-	from, fetches := d.froms[1], d.fetches
+	from, fetches := d.watchRevisions[1], d.listFetches
 	d.mu.Unlock()
 	if from != "2" || fetches != 1 {
 		t.Errorf("watch resumed from revision %s after %d fetches, want 2 after 1", from, fetches)
@@ -76,11 +76,11 @@
 	for i, bad := range []string{`{"revision":3,"members":[{"id":"s-1"`,
 		`{"revision":3,"members":[{"id":"s-1","phase":"asleep"}]}`,
 		`{"revision":3}`, `{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`} {
-		d.say(t, bad)
+		d.sendLine(t, bad)
 		if l := nextList(t, lists); !l.Complete {
 			t.Fatalf("after malformed line %d: got %+v, want the full list", i, l)
 		}
-		waitFor(t, "another watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 3+i })
+		waitFor(t, "another watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 3+i })
 	}
 }
 
@@ -90,14 +90,14 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	lists := startDiscovery(t, d, 100*time.Millisecond)
 	nextList(t, lists)
-	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) >= 2 })
+	waitFor(t, "a second watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) >= 2 })
 }
 
 // A fleet that loses discovery at one moment must not overload it. In each span of ten service times the number of
 // requests stays bounded, however many relays there are, while a small fleet still retries soon.
 func TestFleetRequestsSpreadOut(t *testing.T) {
 	for _, relays := range []int{3, 80, 300, 3000} {
-		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), quietLog(), nil)
+		d := newDiscovery("127.0.0.1:1", relays, -1, clock.System(), discardLogger(), nil)
 		rng := rand.New(rand.NewPCG(1, 2))
 		span := 10 * discoveryServiceTime
 		requests := map[time.Duration]int{} // number of requests by span
@@ -119,12 +119,12 @@
 			}
 		}
 	}
-	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove ||
+	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), discardLogger(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove ||
 		d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
 		t.Errorf("300 relays: first delay is up to %v, a later one at least %v; want a shorter first and a longer later one",
 			d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
 	}
-	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound ||
+	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), discardLogger(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound ||
 		d.responseWait != minResponseWait {
 		t.Errorf("three relays: first delay is up to %v, response wait %v; want at most two rounds, and minResponseWait",
 			d.backoffDelay(1, 0.99), d.responseWait)
@@ -137,7 +137,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	lists, done := make(chan *List, 64), make(chan struct{})
-	client := newDiscovery(d.addr(), 3, 7, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	client := newDiscovery(d.addr(), 3, 7, clock.System(), discardLogger(), collectLists(func(l *List) { lists <- l }))
 	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	if l := nextList(t, lists); l.Complete || len(l.Members) > 0 || l.Revision != 7 {
@@ -145,8 +145,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fetches != 0 || len(d.froms) != 1 || d.froms[0] != "7" {
-		t.Errorf("got %d fetches and watches from %v, want no fetch and one watch from 7", d.fetches, d.froms)
+	if d.listFetches != 0 || len(d.watchRevisions) != 1 || d.watchRevisions[0] != "7" {
+		t.Errorf("got %d fetches and watches from %v, want no fetch and one watch from 7", d.listFetches, d.watchRevisions)
 	}
 }
 
@@ -156,7 +156,7 @@
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
 	ctx, cancel := context.WithCancel(context.Background())
 	lists, done := make(chan *List, 64), make(chan struct{})
-	client := newDiscovery(d.addr(), 300, 7, clock.System(), quietLog(), collectLists(func(l *List) { lists <- l }))
+	client := newDiscovery(d.addr(), 300, 7, clock.System(), discardLogger(), collectLists(func(l *List) { lists <- l }))
 	client.round = 1000 * time.Hour
 	go func() { defer close(done); client.run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
@@ -169,24 +169,24 @@
 // revision reached.
 func TestRefusedWatchKeepsRevision(t *testing.T) {
 	d := newFakeDiscovery(t, Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: phaseUp})
-	d.set(func(d *fakeDiscovery) { d.refuse = 2 })
+	d.update(func(d *fakeDiscovery) { d.watchesToRefuse = 2 })
 	nextList(t, startDiscovery(t, d, testLimit))
-	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.froms) == 1 })
+	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watchRevisions) == 1 })
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fetches != 1 || d.froms[0] != "1" || d.refuse != 0 {
-		t.Errorf("got %d fetches, watch from %s, %d refusals left; want 1, 1 and 0", d.fetches, d.froms[0], d.refuse)
+	if d.listFetches != 1 || d.watchRevisions[0] != "1" || d.watchesToRefuse != 0 {
+		t.Errorf("got %d fetches, watch from %s, %d refusals left; want 1, 1 and 0", d.listFetches, d.watchRevisions[0], d.watchesToRefuse)
 	}
 }
 
 // If discovery is silent at the start, the relay accepts messages with the list that it was configured with.
 func TestStartWithoutDiscovery(t *testing.T) {
 	d := newFakeDiscovery(t)
-	d.set(func(d *fakeDiscovery) { d.silent = true })
-	env := testConfig(t, d, 3)
+	d.update(func(d *fakeDiscovery) { d.silent = true })
+	env := writeTestConfig(t, d, 3)
 	child := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
-	if reply := client.put("m", fields("plain", 20000, 1), nil); reply != "+OK" {
+	if reply := client.put("m", putFields("plain", 20000, 1), nil); reply != "+OK" {
 		t.Error(reply)
 	}
 	_ = child
@@ -196,9 +196,9 @@
 // that it does not hold up the others.
 func TestNotices(t *testing.T) {
 	d := newFakeDiscovery(t)
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusInternalServerError })
 	confirmed := make(chan string, 16)
-	n := newNotices(d.addr(), clock.System(), quietLog(), func(id string) { confirmed <- id })
+	n := newNotices(d.addr(), clock.System(), discardLogger(), func(id string) { confirmed <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
@@ -210,14 +210,14 @@
 		t.Fatalf("notice %s counts as confirmed after status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusNoContent })
 	for range 2 {
 		<-confirmed
 	}
 	if b, _ := d.notice("b"); b != (notice{Message: "b", Outcome: noticeHandedBack, RetryMS: 500}) {
 		t.Errorf("got notice %+v, want handed_back with retry_in_ms 500", b)
 	}
-	d.set(func(d *fakeDiscovery) { d.answer = http.StatusBadRequest })
+	d.update(func(d *fakeDiscovery) { d.noticeStatus = http.StatusBadRequest })
 	n.incoming.put(notice{Message: "c", Outcome: noticeGivenUp})
 	if id := <-confirmed; id != "c" {
 		t.Errorf("got confirmation of %s, want c", id)
@@ -260,7 +260,7 @@
 func confirmAll(t *testing.T, addr string, count int, put func(*notices)) map[string]int {
 	t.Helper()
 	confirmed := make(chan string, maxNoticeBatch)
-	n := newNotices(addr, clock.System(), quietLog(), func(id string) { confirmed <- id })
+	n := newNotices(addr, clock.System(), discardLogger(), func(id string) { confirmed <- id })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -23,11 +23,11 @@
 	unreachable := Member{ID: "s-1", HostPort: listener.Addr().String(), Locality: "a", Flavor: "k", Cell: 1,
 		Phase: phaseUp, Size: 1000}
 	listener.Close() // further connections are refused
-	env := testConfig(t, newFakeDiscovery(t, unreachable), 3)
+	env := writeTestConfig(t, newFakeDiscovery(t, unreachable), 3)
 	child := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 6 {
-		if reply := client.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 1), nil); reply != "+OK" {
+		if reply := client.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 1), nil); reply != "+OK" {
 			t.Fatal(reply)
 		}
 	}
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -179,7 +179,7 @@
 
 // After a refusal the relay backs off, but it sends another request before the time when it is held to know the list.
 func TestRequestsAfterRefusalAreInTime(t *testing.T) {
-	d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil)
+	d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), discardLogger(), nil)
 	for _, left := range []time.Duration{5 * time.Second, 2 * time.Second, 500 * time.Millisecond} {
 		d.knownBy = d.clock.Now().Add(left)
 		if got := d.refusalDelay(6, 0.999); got >= left {
