--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -187,7 +187,7 @@
 		in.ReadByte() // until the relay closes the connection
 		closed <- struct{}{}
 	})
-	r := testRelay(t)
+	r := newTestRelay(t)
 	r.ctx = t.Context()
 	r.wal = &wal{queue: newMailbox[walOp]()}
 	confirmRecords := func() {
@@ -198,9 +198,9 @@
 		}
 	}
 	member := Member{ID: "s-1", HostPort: addr, Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}
-	r.told(t, &List{Complete: true, Members: []Member{member}})
+	r.receiveList(t, &List{Complete: true, Members: []Member{member}})
 	r.policyEvents = nil
-	ep := r.named("s-1")
+	ep := r.endpointByID("s-1")
 	var msgs []*message
 	for _, id := range []string{"short", "off", "last"} {
 		m := r.newMessage(&record{ID: id, Class: "plain", Dest: 7})
@@ -256,11 +256,11 @@
 // Guards the start of a call whose messages were just accepted: it starts once the replies to all of their clients
 // are written. A message whose client has disconnected does not delay the others.
 func TestBatchWaitsForClientReplies(t *testing.T) {
-	r := testRelay(t)
+	r := newTestRelay(t)
 	r.ctx = t.Context()
 	r.wal = &wal{queue: newMailbox[walOp]()}
-	r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}}})
-	num := r.named("s-1").num
+	r.receiveList(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}}})
+	num := r.endpointByID("s-1").num
 	var requests []*putRequest
 	at := r.now() + 1e9
 	for _, id := range []string{"a", "b", "c"} {
--- a/internal/relay/clock_step_relay_test.go
+++ b/internal/relay/clock_step_relay_test.go
@@ -75,9 +75,9 @@
 	t.Helper()
 	unserved := Member{ID: "unserved", HostPort: "127.0.0.1:1", Locality: "a", Flavor: "k", Cell: unservedDest, Phase: phaseDraining}
 	disc := newFakeDiscovery(t, append(members, unserved)...)
-	held := newSite(t, disc) // the port stays ours while no process runs
+	held := newReplaceableRelay(t, disc) // the port stays ours while no process runs
 	env := held.env
-	rewrite(t, env, replace(`"classes":[`, `"classes":[`+shortWindowClass+","+restartWindowClass+","))
+	rewrite(t, env, replaceFirst(`"classes":[`, `"classes":[`+shortWindowClass+","+restartWindowClass+","))
 	return &steppedRelay{t: t, discovery: disc, env: env, socket: held.socket, clock: newTestWallClock(t, env)}
 }
 
--- a/internal/relay/clock_step_test.go
+++ b/internal/relay/clock_step_test.go
@@ -165,8 +165,8 @@
 
 func stepWaitingForSlot(t *testing.T, step time.Duration) {
 	const slots = 16 // calls_out of testSettings
-	served, gate := newFakeEndpoint(t, nil), newGate()
-	busy := newFakeEndpoint(t, gate.answer)
+	served, gate := newFakeEndpoint(t, nil), newResponseGate()
+	busy := newFakeEndpoint(t, gate.respond)
 	members := []Member{served.member("s-1", servedDest)}
 	for i := range slots {
 		members = append(members, busy.member(fmt.Sprintf("busy-%d", i), busyDest+i))
@@ -177,7 +177,7 @@
 	for i := range slots {
 		out = append(out, r.put(fmt.Sprintf("out-%d", i), "once", longDeadline, busyDest+i))
 	}
-	waitFor(t, "calls in all slots", func() bool { return gate.entered.Load() == slots })
+	waitFor(t, "calls in all slots", func() bool { return gate.arrived.Load() == slots })
 	short := r.put("short", "plain", shortDeadline, servedDest)
 	long := r.put("long", "plain", longDeadline, servedDest)
 	r.clock.step(t, step)
@@ -207,8 +207,8 @@
 }
 
 func stepWaitingForAnswer(t *testing.T, step time.Duration) {
-	gate := newGate()
-	slow, silent := newFakeEndpoint(t, gate.answer), newFakeEndpoint(t, hang)
+	gate := newResponseGate()
+	slow, silent := newFakeEndpoint(t, gate.respond), newFakeEndpoint(t, hang)
 	r := newSteppedRelay(t, slow.member("s-1", servedDest), silent.member("s-2", otherDest))
 	r.start()
 	out := r.put("out", "once", longDeadline, servedDest)
@@ -239,12 +239,12 @@
 
 // An attempt that may have run is repeated inside its window and not past it, in a process that runs on.
 func stepKeyedRetry(t *testing.T, step time.Duration) {
-	gate := newGate()
+	gate := newResponseGate()
 	faultAfter := func(w http.ResponseWriter, req *http.Request, n int) {
 		if n > 1 {
 			return
 		}
-		gate.answer(w, req, n)
+		gate.respond(w, req, n)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	inWindow, pastWindow := newFakeEndpoint(t, faultAfter), newFakeEndpoint(t, faultAfter)
@@ -252,7 +252,7 @@
 	r.start()
 	repeated := r.put("repeated", "keyed", longDeadline, servedDest)
 	over := r.put("over", "brief", spareDeadline, otherDest)
-	waitFor(t, "the first calls", func() bool { return gate.entered.Load() == 2 })
+	waitFor(t, "the first calls", func() bool { return gate.arrived.Load() == 2 })
 	began := time.Now()
 	r.clock.step(t, step)
 	time.Sleep(time.Until(began.Add(shortWindow + 200*time.Millisecond)))
@@ -268,9 +268,9 @@
 // The clock is stepped while the second attempt waits for its connection, which comes up inside the window of
 // one message and past that of the other.
 func stepKeyedRetryConnecting(t *testing.T, step time.Duration) {
-	gate := newGate()
+	gate := newResponseGate()
 	first := newFakeEndpoint(t, func(w http.ResponseWriter, req *http.Request, n int) {
-		gate.answer(w, req, n)
+		gate.respond(w, req, n)
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	marker, moved := newFakeEndpoint(t, nil), []*fullBacklog{newFullBacklog(t), newFullBacklog(t)}
@@ -278,7 +278,7 @@
 	r.start()
 	repeated := r.put("repeated", "keyed", longDeadline, servedDest)
 	over := r.put("over", "brief", spareDeadline, otherDest)
-	waitFor(t, "the first calls", func() bool { return gate.entered.Load() == 2 })
+	waitFor(t, "the first calls", func() bool { return gate.arrived.Load() == 2 })
 	began := time.Now()
 	for i, dest := range []int{servedDest, otherDest} { // the endpoints move to where no connection comes up
 		member := first.member(fmt.Sprintf("s-%d", i), dest)
@@ -427,13 +427,13 @@
 
 // handoverTrial is not valid where the old process did not answer within helloTimeout, so that nothing was handed over.
 func handoverTrial(t *testing.T, step time.Duration) (valid bool) {
-	gate := newGate()
-	served, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, gate.answer)
+	gate := newResponseGate()
+	served, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, gate.respond)
 	r := newSteppedRelay(t, served.member("s-1", servedDest), slow.member("s-2", otherDest))
 	r.startOnDoor()
 	r.connect()
 	out := r.put("out", "once", longDeadline, otherDest)
-	waitFor(t, "the call", func() bool { return gate.entered.Load() == 1 })
+	waitFor(t, "the call", func() bool { return gate.arrived.Load() == 1 })
 	held := r.put("held", "plain", spareDeadline, unservedDest)
 	half, text := r.client, putText("half", messageFields("plain", shortDeadline, unservedDest), nil)
 	io.WriteString(half, text[:len(text)/2])
@@ -456,7 +456,7 @@
 	r.expectDelivered(r.put("fresh", "once", longDeadline, servedDest), served, 1)
 	close(gate.open)
 	r.expectDelivered(out, slow, 1)
-	old.ended(t)
+	old.waitExit(t)
 	r.expectNotice(after, nil)
 	r.expectNotice(passed, nil)
 	r.expectNotice(held, nil)
@@ -645,7 +645,7 @@
 // clock says between.
 func stepClientEviction(t *testing.T, step time.Duration) {
 	r := newSteppedRelay(t)
-	rewrite(t, r.env, replace(`"sockets":1024`, `"sockets":64`))
+	rewrite(t, r.env, replaceFirst(`"sockets":1024`, `"sockets":64`))
 	r.start()
 	r.client.Close()
 	for _, stalled := range []bool{false, true} {
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -154,7 +154,7 @@
 // A message that ends while its call waits for a connection is out of the call before
 // anybody hears of the end.
 func TestEndTakesOutOfTheCall(t *testing.T) {
-	r := testRelay(t)
+	r := newTestRelay(t)
 	r.wal, r.notices = &wal{queue: newMailbox[walOp]()}, newNotices("127.0.0.1:1", clock.System(), quietLog(), nil)
 	m := r.newMessage(&record{ID: "m", Class: "plain"})
 	m.acknowledged = true
@@ -338,17 +338,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.cfg = cfg
 		return r
 	}
 	acme, other := `{"name":"acme","quota_per_s":1000,"share":1}`, `{"name":"other","quota_per_s":1,"share":1}`
 	before := start(settings("", acme, `"a","b"`))
 	keyed := before.cfg.Policy.Classes[before.cfg.classes["keyed"]]
-	before.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Locality: "b", Flavor: "k", Cell: 7, Phase: phaseUp}}})
+	before.receiveList(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Locality: "b", Flavor: "k", Cell: 7, Phase: phaseUp}}})
 	rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Rules: &keyed, MaxAttempts: 3,
 		Deadline: before.clock.Now().Add(testLimit)}
-	rec.update(&record{Kind: recordAttempt, At: before.clock.Now(), ZoneName: before.named("s-1").zone})
+	rec.update(&record{Kind: recordAttempt, At: before.clock.Now(), ZoneName: before.endpointByID("s-1").zone})
 	text, err := rec.encode(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -370,7 +370,7 @@
 // told first stands, and the call gives its slot back once.
 func TestAnswerAsTheCallIsGivenUp(t *testing.T) {
 	for _, late := range []decide.Outcome{decide.Delivered, decide.Errored} {
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.wal = &wal{queue: newMailbox[walOp]()}
 		c := newTestCall()
 		c.ep = &endpoint{num: 1, calls: map[*call]bool{c: true}}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -253,18 +253,18 @@
 // other.
 func TestRetryAfterCancelsUnsentCalls(t *testing.T) {
 	for _, separate := range []bool{true, false} {
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.cfg.Policy.Kinds = []decide.DestKind{{SeparateLimits: separate, MaxBatch: 1}}
 		r.cfg.kinds = map[string]int{"k": 0}
 		list := &List{Complete: true}
 		for i, dest := range []int{1, 1, 2} {
 			list.Members = append(list.Members, Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Flavor: "k", Cell: dest, Phase: phaseUp, Size: 5})
 		}
-		r.told(t, list)
+		r.receiveList(t, list)
 		var calls []*call
 		for i := range list.Members {
 			c := newTestCall()
-			c.ep = r.named(fmt.Sprint("s-", i))
+			c.ep = r.endpointByID(fmt.Sprint("s-", i))
 			c.ep.calls[c] = true
 			calls = append(calls, c)
 		}
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -314,7 +314,7 @@
 func TestUpgradeWhileFolderFails(t *testing.T) {
 	safe, unsafe := newFakeEndpoint(t, status(http.StatusServiceUnavailable)),
 		newFakeEndpoint(t, status(http.StatusServiceUnavailable))
-	s := newSite(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
+	s := newReplaceableRelay(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
 	rewrite(t, s.env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
 	control := newFolderControl(t, s.env)
 	start := func() (*child, *childLog) {
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -17,18 +17,18 @@
 func TestMessageCanBeFollowed(t *testing.T) {
 	lines := func(level slog.Level) string {
 		var out bytes.Buffer
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))
 		r.ctx = t.Context()
 		r.wal = &wal{queue: newMailbox[walOp]()}
-		r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
+		r.receiveList(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
 		for _, what := range []decide.Outcome{decide.Delivered, decide.Errored} {
 			q := &putRequest{record: &record{ID: map[decide.Outcome]string{decide.Delivered: "good", decide.Errored: "bad"}[what],
 				Class: "plain", Dest: 7, Rules: &decide.Class{}}}
 			m := r.newMessage(q.record)
 			r.unanswered[q] = m
 			r.replyWritten(q, true)
-			r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.named("s-1").num, TimeoutAt: r.now() + 1e9})
+			r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: m.num, Endpoint: r.endpointByID("s-1").num, TimeoutAt: r.now() + 1e9})
 			c := r.formingCalls[0]
 			r.dispatchCalls()
 			r.handleCallResult(c, nil, &callResult{outcome: what, settled: what == decide.Delivered, err: errors.New("told by the test")})
--- a/internal/relay/fuzz_config_test.go
+++ b/internal/relay/fuzz_config_test.go
@@ -9,13 +9,13 @@
 	"troutusher/decide"
 )
 
-// fuzzConfig is a whole configuration, with a list in it.
+// fuzzConfig is a complete configuration with a known list.
 const fuzzConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f","ops":"127.0.0.1:3",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},
 	"known":{"revision":4,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:1","locality":"a","flavor":"k","cell":7,"phase":"up","size":2}]},
 	"settings":` + testSettings + `}`
 
-// changes of fuzzConfig that a file may have.
+// fuzzConfigChanges are replacements in fuzzConfig for seeds of the fuzz targets: the old and the new text.
 var fuzzConfigChanges = [][2]string{
 	{`"seed":"1f"`, `"seed":42`},
 	{`"seed":"1f"`, `"seed":null`},
@@ -37,84 +37,87 @@
 	{`"zone":0}`, `"zone":0}}`},
 }
 
-func noEnvironment(string) string { return "" }
+// emptyEnvironment is a lookup of environment variables of which none is set.
+func emptyEnvironment(string) string { return "" }
 
-// FuzzLoadConfig: a configuration that is accepted is whole and one that a relay can
-// work with, is accepted by a running relay as well, and can take its own place there.
+// FuzzLoadConfig: a configuration that is accepted at startup is complete and consistent. A running relay accepts it as
+// well, and it can replace itself there.
 func FuzzLoadConfig(f *testing.F) {
 	f.Add([]byte(fuzzConfig))
 	for _, change := range fuzzConfigChanges {
 		text := strings.Replace(fuzzConfig, change[0], change[1], 1)
 		if text == fuzzConfig {
-			f.Fatalf("%q changes nothing", change[0])
+			f.Fatalf("fuzzConfig does not contain %q", change[0])
 		}
 		f.Add([]byte(text))
 	}
 	f.Add([]byte(fuzzConfig[:len(fuzzConfig)/2]))
 	f.Add([]byte("null"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		cfg, err := loadConfig(strings.NewReader(string(text)), noEnvironment, false)
+		cfg, err := loadConfig(strings.NewReader(string(text)), emptyEnvironment, false)
 		if err != nil {
 			return
 		}
 		checkConfig(t, cfg)
-		again, err := loadConfig(strings.NewReader(string(text)), noEnvironment, true)
+		reloaded, err := loadConfig(strings.NewReader(string(text)), emptyEnvironment, true)
 		if err != nil {
-			t.Fatalf("accepted at the start, and by a running relay not: %v", err)
+			t.Fatalf("a configuration accepted at startup: a running relay returns %v, want no error", err)
 		}
-		if again.Known != nil {
-			t.Error("a running relay takes the list of the file")
+		if reloaded.Known != nil {
+			t.Error("a running relay takes the list from the file, want it ignored")
 		}
-		if !reflect.DeepEqual(again.Policy, cfg.Policy) || !reflect.DeepEqual(again.Limits, cfg.Limits) || again.Seed != cfg.Seed {
-			t.Errorf("read twice as\n%+v and\n%+v", cfg, again)
+		if !reflect.DeepEqual(reloaded.Policy, cfg.Policy) || !reflect.DeepEqual(reloaded.Limits, cfg.Limits) ||
+			reloaded.Seed != cfg.Seed {
+			t.Errorf("two reads of the same file differ:\n%+v and\n%+v", cfg, reloaded)
 		}
-		if err := again.checkCanReplace(cfg); err != nil {
-			t.Errorf("it cannot take its own place: %v", err)
+		if err := reloaded.checkCanReplace(cfg); err != nil {
+			t.Errorf("a configuration replaces itself: got error %v, want none", err)
 		}
 	})
 }
 
-// checkConfig: what a relay does with a configuration works out.
+// checkConfig checks that a relay can use an accepted configuration, and that the limits derived from it are valid.
 func checkConfig(t *testing.T, cfg *Config) {
 	t.Helper()
 	if cfg.Name == "" || cfg.StateFolder == "" {
-		t.Errorf("name %q, state %q", cfg.Name, cfg.StateFolder)
+		t.Errorf("got name %q and state folder %q, want both set", cfg.Name, cfg.StateFolder)
 	}
 	for _, address := range []string{cfg.ListenAddr, cfg.DiscoveryAddr} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			t.Errorf("address: %v", err)
+			t.Errorf("invalid address: %v", err)
 		}
 	}
 	if err := cfg.Policy.Validate(); err != nil {
-		t.Errorf("settings: %v", err)
+		t.Errorf("invalid settings: %v", err)
 	}
 	if _, err := decide.New(cfg.Policy, cfg.Seed); err != nil {
-		t.Errorf("policy: %v", err)
+		t.Errorf("decide.New: %v", err)
 	}
 	clients, endpoints := cfg.socketBudget()
 	if clients < 1 || endpoints < 1 || clients+endpoints+reservedSockets > cfg.Limits.Sockets {
-		t.Errorf("budget %d and %d of %d", clients, endpoints, cfg.Limits.Sockets)
+		t.Errorf("got budgets of %d client and %d endpoint sockets, want at least 1 each within %d sockets",
+			clients, endpoints, cfg.Limits.Sockets)
 	}
 	if memory, list := memoryLimit(cfg), directoryLimit(&cfg.Limits); memory <= 0 || list <= 0 || list > memory {
-		t.Errorf("%d MB of memory: %d bytes for all, %d for the list", cfg.Limits.MemoryMB, memory, list)
+		t.Errorf("%d MB of memory: got limits of %d bytes for the process and %d for the list",
+			cfg.Limits.MemoryMB, memory, list)
 	}
 	if disk := int64(cfg.Limits.DiskMB) << 20; disk <= 0 {
-		t.Errorf("%d MB of disk are %d bytes", cfg.Limits.DiskMB, disk)
+		t.Errorf("%d MB of disk: got a limit of %d bytes, want more than 0", cfg.Limits.DiskMB, disk)
 	}
 	if cfg.Known != nil && cfg.KnownErr != nil {
-		t.Errorf("a list beside the error %v", cfg.KnownErr)
+		t.Errorf("got a known list and the error %v, want one of them", cfg.KnownErr)
 	}
 	for name, class := range cfg.classes {
 		if class < 0 || class >= len(cfg.Policy.Classes) || cfg.Policy.Classes[class].Name != name {
-			t.Errorf("class %q is %d of %d", name, class, len(cfg.Policy.Classes))
+			t.Errorf("class %q: got index %d of %d classes", name, class, len(cfg.Policy.Classes))
 		}
 	}
 }
 
-// FuzzReplaces: a file that takes the place of a running one has every key of it, and
-// what it lacks is named.
-func FuzzReplaces(f *testing.F) {
-	running, err := loadConfig(strings.NewReader(fuzzConfig), noEnvironment, true)
+// FuzzReloadConfig: a configuration that may replace the running one has a value for every key that has one there.
+func FuzzReloadConfig(f *testing.F) {
+	running, err := loadConfig(strings.NewReader(fuzzConfig), emptyEnvironment, true)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -124,7 +127,7 @@
 	}
 	f.Add([]byte(`{"settings":{}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		cfg, err := loadConfig(strings.NewReader(string(text)), noEnvironment, true)
+		cfg, err := loadConfig(strings.NewReader(string(text)), emptyEnvironment, true)
 		if err != nil {
 			return
 		}
@@ -132,23 +135,24 @@
 			return
 		}
 		if err := cfg.Policy.Validate(); err != nil || cfg.Policy.MaxAttempts <= 0 || len(cfg.Policy.Classes) == 0 {
-			t.Errorf("taken over: %d attempts, %d classes, %v", cfg.Policy.MaxAttempts, len(cfg.Policy.Classes), err)
+			t.Errorf("an accepted replacement has %d attempts, %d classes and the policy error %v",
+				cfg.Policy.MaxAttempts, len(cfg.Policy.Classes), err)
 		}
-		checkKeys(t, running.rawConfig, cfg.rawConfig)
+		checkKeysKept(t, running.rawConfig, cfg.rawConfig)
 	})
 }
 
-// checkKeys: each key of the running object that has a value has one in the new object.
-func checkKeys(t *testing.T, running, replacing map[string]any) {
+// checkKeysKept checks that each key that has a value in the running object has one in its replacement.
+func checkKeysKept(t *testing.T, running, replacement map[string]any) {
 	t.Helper()
-	for key, was := range running {
-		is := replacing[key]
-		if was != nil && is == nil {
-			t.Errorf("key %q is missing", key)
+	for key, oldValue := range running {
+		newValue := replacement[key]
+		if oldValue != nil && newValue == nil {
+			t.Errorf("key %q: got no value in the replacement, want one", key)
 		}
-		if object, ok := was.(map[string]any); ok {
-			inner, _ := is.(map[string]any)
-			checkKeys(t, object, inner)
+		if object, ok := oldValue.(map[string]any); ok {
+			newObject, _ := newValue.(map[string]any)
+			checkKeysKept(t, object, newObject)
 		}
 	}
 }
--- a/internal/relay/fuzz_handover_test.go
+++ b/internal/relay/fuzz_handover_test.go
@@ -15,76 +15,76 @@
 	"troutusher/internal/membership"
 )
 
-// fuzzPeer is another process of the relay of which nothing is heard but what a test says.
-func fuzzPeer() *peer {
-	return &peer{outbox: newMailbox[handoverMessage](), closed: make(chan struct{}), finish: make(chan struct{}), pendingPuts: map[string]*putRequest{}}
+// newTestPeer returns a peer without a connection.
+func newTestPeer() *peer {
+	return &peer{outbox: newMailbox[handoverMessage](), closed: make(chan struct{}), finish: make(chan struct{}),
+		pendingPuts: map[string]*putRequest{}}
 }
 
-// heirRelay is a relay that has taken over from an old process: it knows two
-// destinations, and its log and its notices go nowhere. Its context has ended, so that
-// nothing of it is dialled.
-func heirRelay(t testing.TB) *Relay {
+// newSuccessorRelay returns a relay that is taking over from a predecessor. It knows two destinations. Its log and its
+// notices are queued and not written or sent. Its context has ended, so that it dials no connection.
+func newSuccessorRelay(t testing.TB) *Relay {
 	t.Helper()
-	r := testRelay(t)
-	ended, cancel := context.WithCancel(context.Background())
+	relay := newTestRelay(t)
+	endedContext, cancel := context.WithCancel(context.Background())
 	cancel()
-	r.ctx = ended
-	r.wal = &wal{queue: newMailbox[walOp]()}
-	r.notices = &notices{incoming: newMailbox[notice]()}
-	r.reload = Reload{Read: func() (*Config, error) { return nil, errors.New("no file") }}
-	r.predecessor = fuzzPeer()
-	takeList(t, r, membership.List{Revision: 1, Complete: true, Members: []Member{
+	relay.ctx = endedContext
+	relay.wal = &wal{queue: newMailbox[walOp]()}
+	relay.notices = &notices{incoming: newMailbox[notice]()}
+	relay.reload = Reload{Read: func() (*Config, error) { return nil, errors.New("no file") }}
+	relay.predecessor = newTestPeer()
+	applyList(t, relay, membership.List{Revision: 1, Complete: true, Members: []Member{
 		{ID: "endpoint-0", HostPort: "127.0.0.1:1", Locality: "a", Flavor: "k", Phase: phaseUp, Size: 10},
 		{ID: "endpoint-1", HostPort: "127.0.0.1:2", Locality: "b", Flavor: "bulk", Cell: 1, Phase: phaseUp, Size: 10},
 	}})
-	return r
+	return relay
 }
 
-// takeList has a relay take a list.
-func takeList(t testing.TB, r *Relay, list membership.List) {
+// applyList applies a full list or a delta to the relay's directory and loop.
+func applyList(t testing.TB, relay *Relay, list membership.List) {
 	t.Helper()
-	stage, err := r.directory.Stage(context.Background())
+	staged, err := relay.directory.Stage(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range list.Members {
-		if _, err := stage.Entry(list.Members[i].Entry(), false); err != nil {
+		if _, err := staged.Entry(list.Members[i].Entry(), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.startListUpdate(stage.Commit(list.Revision, list.Complete))
-	r.applyAllChanges()
+	relay.startListUpdate(staged.Commit(list.Revision, list.Complete))
+	relay.applyAllChanges()
 }
 
-// decodeLines reads what another process wrote, by way of newPeer.
-func decodeLines(t *testing.T, text []byte) (lines []*handoverMessage) {
+// decodeMessages returns the messages that a peer receives if the other process writes text and ends.
+func decodeMessages(t *testing.T, text []byte) (messages []*handoverMessage) {
 	t.Helper()
-	ours, theirs := net.Pipe()
+	local, remote := net.Pipe()
 	var once sync.Once
-	gone := make(chan struct{})
-	p := newPeer(ours, func(_ *peer, h *handoverMessage) {
-		if h == nil {
-			once.Do(func() { close(gone) })
+	disconnected := make(chan struct{})
+	p := newPeer(local, func(_ *peer, msg *handoverMessage) {
+		if msg == nil {
+			once.Do(func() { close(disconnected) })
 			return
 		}
-		lines = append(lines, h)
+		messages = append(messages, msg)
 	})
-	theirs.SetDeadline(time.Now().Add(10 * time.Second))
-	theirs.Write(text) // an error is the other side's end: it has read enough
-	theirs.Close()
+	remote.SetDeadline(time.Now().Add(10 * time.Second))
+	remote.Write(text) // fails if the peer stops reading before the end of text
+	remote.Close()
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the end of the connection is not heard")
+		t.Fatal("the end of the connection was not reported within 10 s")
 	}
 	<-p.closed
-	return lines
+	return messages
 }
 
-// FuzzHandOver: no lines of an old process, whatever they hold, stop the process that
-// takes over from it, and what that books of calls and messages is consistent: it can be
-// said on to a next process, and the calls that are out all come to their ends.
-func FuzzHandOver(f *testing.F) {
+// FuzzPredecessorMessages: no messages of a predecessor, whatever they contain, crash its successor. The successor's
+// counts of calls and messages stay consistent, its state can be handed over in turn, and all calls in flight end once
+// the predecessor is gone.
+func FuzzPredecessorMessages(f *testing.F) {
 	for _, line := range []string{
 		`{"estate":{"log":"../wal.0","names":{"1":"endpoint-0","2":"gone"},"waits":{"endpoint-1":3600500000,"gone":1},
 			"calls":[{"id":"m-1","endpoint":1,"call":1},{"id":"m-2","endpoint":1,"call":1},{"id":"m-3","endpoint":2,"call":2}]}}
@@ -108,154 +108,165 @@
 		f.Add([]byte(line))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := heirRelay(t)
-		elder := r.predecessor
-		for _, line := range decodeLines(t, text) {
-			if line.State != nil {
-				takeEstate(r, line.State)
+		relay := newSuccessorRelay(t)
+		predecessor := relay.predecessor
+		for _, msg := range decodeMessages(t, text) {
+			if msg.State != nil {
+				restoreState(relay, msg.State)
 				continue
 			}
-			if r.predecessor != nil {
-				r.handlePeerMessage(elder, line)
+			if relay.predecessor != nil {
+				relay.handlePeerMessage(predecessor, msg)
 			}
-			settleRelay(r)
+			processPending(relay)
 		}
-		checkCalls(t, r)
-		checkEstate(t, r)
-		r.handlePeerMessage(elder, nil)
-		settleRelay(r)
-		checkCalls(t, r)
-		if len(r.unanswered) != 0 {
-			t.Errorf("%d clients of a process that is gone wait", len(r.unanswered))
+		checkCallCounts(t, relay)
+		checkHandoverState(t, relay)
+		relay.handlePeerMessage(predecessor, nil)
+		processPending(relay)
+		checkCallCounts(t, relay)
+		if len(relay.unanswered) != 0 {
+			t.Errorf("unanswered requests after the predecessor is gone: got %d, want 0", len(relay.unanswered))
 		}
-		for _, m := range r.messages {
-			if m.call != nil && m.call.ctx == nil {
-				t.Errorf("a call of a process that is gone is out for %q", m.rec.ID)
+		for _, msg := range relay.messages {
+			if msg.call != nil && msg.call.ctx == nil {
+				t.Errorf("message %q still has a call of the predecessor, which is gone", msg.rec.ID)
 			}
 		}
 	})
 }
 
-// takeEstate takes over what an old process leaves, with a log that names its calls.
-func takeEstate(r *Relay, left *handoverState) {
-	out := r.restoreHandover(left, r.predecessor)
-	var owed []*record
-	for _, x := range left.Calls {
-		owed = append(owed, &record{Kind: recordAccepted, ID: x.ID, Class: "plain", Dest: 1, Deadline: r.clock.Now().Add(time.Second), Attempts: 1, InFlightSince: r.clock.Now()})
+// restoreState restores a predecessor's state, with a log that has the message of each of its calls.
+func restoreState(r *Relay, state *handoverState) {
+	calls := r.restoreHandover(state, r.predecessor)
+	var pending []*record
+	for _, entry := range state.Calls {
+		pending = append(pending, &record{Kind: recordAccepted, ID: entry.ID, Class: "plain", Dest: 1,
+			Deadline: r.clock.Now().Add(time.Second), Attempts: 1, InFlightSince: r.clock.Now()})
 	}
-	r.restoreMessages(owed, out)
-	settleRelay(r)
+	r.restoreMessages(pending, calls)
+	processPending(r)
 }
 
-// settleRelay has a relay do what it does between two waits, until nothing is left.
-func settleRelay(r *Relay) {
+// processPending handles the queued events, completes the queued log operations and runs the policy, in enough rounds
+// that nothing is left.
+func processPending(relay *Relay) {
 	for range 8 {
-		for _, h := range r.inbox.takeAll(nil) {
-			r.handleEvent(h)
+		for _, ev := range relay.inbox.takeAll(nil) {
+			relay.handleEvent(ev)
 		}
-		for _, op := range r.wal.queue.takeAll(nil) {
-			if op.onDone != nil && op.rec.Kind != recordAttempt { // no call of its own leaves
+		for _, op := range relay.wal.queue.takeAll(nil) {
+			// No attempt record completes, so the relay sends no call itself.
+			if op.onDone != nil && op.rec.Kind != recordAttempt {
 				op.onDone(nil)
 			}
 		}
-		if len(r.policyEvents) > 0 {
-			r.step()
+		if len(relay.policyEvents) > 0 {
+			relay.step()
 		}
 	}
 }
 
-// checkCalls: the loop's books agree with each other.
-func checkCalls(t *testing.T, r *Relay) {
+// checkCallCounts checks that the loop's records of messages and calls agree with each other.
+func checkCallCounts(t *testing.T, relay *Relay) {
 	t.Helper()
-	held, calls := 0, map[*call]int{}
-	for num, m := range r.messages {
-		if m.num != num {
-			t.Errorf("message %d under %d", m.num, num)
+	heldCount, calls := 0, map[*call]int{}
+	for num, msg := range relay.messages {
+		if msg.num != num {
+			t.Errorf("message number: got %d, want its key %d", msg.num, num)
 		}
-		if r.messagesByID[m.rec.ID] == m {
-			held++
+		if relay.messagesByID[msg.rec.ID] == msg {
+			heldCount++
 		}
-		if m.call != nil {
-			calls[m.call]++
+		if msg.call != nil {
+			calls[msg.call]++
 		}
 	}
-	if held != r.heldCount || len(r.messagesByID) != held {
-		t.Errorf("%d messages are held, %d are counted, %d ids known", held, r.heldCount, len(r.messagesByID))
+	if heldCount != relay.heldCount || len(relay.messagesByID) != heldCount {
+		t.Errorf("%d messages are held, but heldCount is %d and messagesByID has %d", heldCount, relay.heldCount,
+			len(relay.messagesByID))
 	}
-	if len(calls) != r.callsInFlight {
-		t.Errorf("%d calls are out, %d are counted", len(calls), r.callsInFlight)
+	if len(calls) != relay.callsInFlight {
+		t.Errorf("%d calls are in flight, but callsInFlight is %d", len(calls), relay.callsInFlight)
 	}
-	for c, messages := range calls {
-		if c.unfinished != messages || !c.ep.calls[c] {
-			t.Errorf("a call of %d messages is out with %d", messages, c.unfinished)
+	for c, messageCount := range calls {
+		if c.unfinished != messageCount || !c.ep.calls[c] {
+			t.Errorf("a call with %d messages has %d unfinished, or its endpoint does not have it",
+				messageCount, c.unfinished)
 		}
 	}
 }
 
-// checkEstate: what a process leaves can be written, and is read as it was.
-func checkEstate(t *testing.T, r *Relay) {
+// checkHandoverState checks that the relay's state can be encoded for a successor, and is decoded unchanged.
+func checkHandoverState(t *testing.T, relay *Relay) {
 	t.Helper()
-	r.wal.path = "wal"
-	line, err := json.Marshal(handoverMessage{State: r.collectHandoverState()})
+	relay.wal.path = "wal"
+	line, err := json.Marshal(handoverMessage{State: relay.collectHandoverState()})
 	if err != nil {
-		t.Errorf("cannot be handed over: %v", err)
+		t.Errorf("encoding the hand-over state: %v", err)
 		return
 	}
-	var read handoverMessage
-	if err := json.Unmarshal(line, &read); err != nil {
+	var decoded handoverMessage
+	if err := json.Unmarshal(line, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(read)
-	if err != nil || !bytes.Equal(line, again) {
-		t.Errorf("handed over as\n%s, read as\n%s, %v", line, again, err)
+	reencoded, err := json.Marshal(decoded)
+	if err != nil || !bytes.Equal(line, reencoded) {
+		t.Errorf("encoded as\n%s, decoded as\n%s, error %v", line, reencoded, err)
 	}
 }
 
-// FuzzHandLines: what a process says of its own lines is read by the other one as it was
-// said, and bytes that are no line end the conversation with no harm.
-func FuzzHandLines(f *testing.F) {
+// FuzzHandoverMessages: each message that one process sends is received unchanged by the other one. Invalid bytes after
+// them only end the connection.
+func FuzzHandoverMessages(f *testing.F) {
 	f.Add("m-1", int64(7), uint8(decide.Rejected), true, []byte("body"), []byte(`{"take":tr`))
 	f.Add("\x00\xff", int64(-1), uint8(255), false, []byte{}, []byte("null"))
-	f.Fuzz(func(t *testing.T, id string, span int64, what uint8, flag bool, body, behind []byte) {
-		id = strings.ToValidUTF8(id, "?") // JSON has no other texts
-		said := []handoverMessage{
-			{Hello: &handoverHello{PolicyNow: span}}, {Ready: flag}, {Cancel: id}, {ReplyWritten: &handoverReplyWritten{id, flag}}, {Reply: &handoverReply{id, id}},
-			{Outcome: &handoverOutcome{ID: id, Outcome: decide.Outcome(what), RetryAfter: span, Settled: flag, Elapsed: span, Err: id}},
-			{Put: &handoverPut{&record{Kind: recordAccepted, ID: id, Dest: int(span)}, body}},
-			{State: &handoverState{LogName: id, EndpointIDs: map[decide.Endpoint]string{decide.Endpoint(what): id}, Calls: []inFlightCall{{id, 1, 1}}}},
+	f.Fuzz(func(t *testing.T, id string, duration int64, outcome uint8, flag bool, body, trailing []byte) {
+		id = strings.ToValidUTF8(id, "?") // JSON strings are valid UTF-8
+		sent := []handoverMessage{
+			{Hello: &handoverHello{PolicyNow: duration}}, {Ready: flag}, {Cancel: id},
+			{ReplyWritten: &handoverReplyWritten{id, flag}}, {Reply: &handoverReply{id, id}},
+			{Outcome: &handoverOutcome{ID: id, Outcome: decide.Outcome(outcome), RetryAfter: duration, Settled: flag,
+				Elapsed: duration, Err: id}},
+			{Put: &handoverPut{&record{Kind: recordAccepted, ID: id, Dest: int(duration)}, body}},
+			{State: &handoverState{LogName: id, EndpointIDs: map[decide.Endpoint]string{decide.Endpoint(outcome): id},
+				Calls: []inFlightCall{{id, 1, 1}}}},
 		}
 		var text bytes.Buffer
 		encoder := json.NewEncoder(&text)
-		for i := range said {
-			if err := encoder.Encode(&said[i]); err != nil {
+		for i := range sent {
+			if err := encoder.Encode(&sent[i]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		heard := decodeLines(t, append(text.Bytes(), behind...))
-		if len(heard) < len(said) {
-			t.Fatalf("%d lines said, %d heard", len(said), len(heard))
+		received := decodeMessages(t, append(text.Bytes(), trailing...))
+		if len(received) < len(sent) {
+			t.Fatalf("%d messages sent, %d received", len(sent), len(received))
 		}
-		for i := range said {
-			want, _ := json.Marshal(said[i])
-			got, _ := json.Marshal(heard[i])
+		for i := range sent {
+			want, _ := json.Marshal(sent[i])
+			got, _ := json.Marshal(received[i])
 			if !bytes.Equal(want, got) {
-				t.Errorf("said %s, heard %s", want, got)
+				t.Errorf("sent %s, received %s", want, got)
 			}
 		}
 	})
 }
 
-// TestWaitOfUnlistedEndpoint: an old process carries a call to an endpoint that is off
-// the list by now. The wait that its answer tells binds no endpoint of destination 0.
+// TestWaitOfUnlistedEndpoint: a predecessor finishes a call to an endpoint that is no longer listed. The Retry-After of
+// the response does not apply to the endpoint of destination 0.
 func TestWaitOfUnlistedEndpoint(t *testing.T) {
-	r := heirRelay(t)
-	listed := r.endpoint(decide.Endpoint(r.directory.Of(0, nil)[0].Number))
-	takeEstate(r, &handoverState{EndpointIDs: map[decide.Endpoint]string{9: "gone"}, Calls: []inFlightCall{{ID: "m-1", Endpoint: 9, Call: 1}}})
-	if r.callsInFlight != 1 {
-		t.Fatalf("%d calls are out, want 1", r.callsInFlight)
+	relay := newSuccessorRelay(t)
+	listed := relay.endpoint(decide.Endpoint(relay.directory.Of(0, nil)[0].Number))
+	restoreState(relay, &handoverState{EndpointIDs: map[decide.Endpoint]string{9: "gone"},
+		Calls: []inFlightCall{{ID: "m-1", Endpoint: 9, Call: 1}}})
+	if relay.callsInFlight != 1 {
+		t.Fatalf("calls in flight: got %d, want 1", relay.callsInFlight)
 	}
-	r.handlePredecessorMessage(&handoverMessage{Outcome: &handoverOutcome{ID: "m-1", Outcome: decide.Rejected, RetryAfter: 5e6}})
-	if r.callsInFlight != 0 || listed.waitUntil != 0 {
-		t.Errorf("%d calls are out, the listed endpoint waits until %d", r.callsInFlight, listed.waitUntil)
+	relay.handlePredecessorMessage(&handoverMessage{
+		Outcome: &handoverOutcome{ID: "m-1", Outcome: decide.Rejected, RetryAfter: 5e6}})
+	if relay.callsInFlight != 0 || listed.waitUntil != 0 {
+		t.Errorf("got %d calls in flight and a wait of the listed endpoint until %d, want 0 and 0",
+			relay.callsInFlight, listed.waitUntil)
 	}
 }
--- a/internal/relay/growth_test.go
+++ b/internal/relay/growth_test.go
@@ -11,119 +11,124 @@
 	"troutusher/internal/membership"
 )
 
-// testRelay is a loop without its sockets; its clock is moved by hand.
-func testRelay(t testing.TB) *Relay {
+// newTestRelay returns a relay without sockets, whose event loop does not run. The test advances its clock.
+func newTestRelay(t testing.TB) *Relay {
 	t.Helper()
 	cfg := parseTestConfig(t)
 	policy, err := decide.New(cfg.Policy, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	manual := clock.NewManual(clock.Read(clock.System()))
-	r := &Relay{cfg: cfg, log: quietLog(), policy: policy, inbox: newMailbox[event](), clock: manual, epoch: policyEpoch,
+	manualClock := clock.NewManual(clock.Read(clock.System()))
+	relay := &Relay{cfg: cfg, log: quietLog(), policy: policy, inbox: newMailbox[event](), clock: manualClock,
+		epoch:    policyEpoch,
 		messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*putRequest]*message{},
 		endpoints: map[decide.Endpoint]*endpoint{}, directory: membership.NewDirectory(0),
-		pool: newPool(manual, time.Second, time.Second, 8)}
-	policy.UseDirectory(r)
-	return r
+		pool: newPool(manualClock, time.Second, time.Second, 8)}
+	policy.UseDirectory(relay)
+	return relay
 }
 
-// told has the relay take a list that discovery has read.
-func (r *Relay) told(t *testing.T, l *List) {
+// receiveList passes a full list or a delta to the relay the way the discovery client does, and applies it.
+func (r *Relay) receiveList(t *testing.T, list *List) {
 	t.Helper()
-	to, err := r.beginList(t.Context())
+	receiver, err := r.beginList(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range l.Members {
-		if err := to.Entry(l.Members[i].Entry(), true); err != nil {
+	for i := range list.Members {
+		if err := receiver.Entry(list.Members[i].Entry(), true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	to.End(l.Revision, l.Complete)
-	for _, h := range r.inbox.takeAll(nil) {
-		r.handleEvent(h)
+	receiver.End(list.Revision, list.Complete)
+	for _, ev := range r.inbox.takeAll(nil) {
+		r.handleEvent(ev)
 	}
 	r.applyAllChanges()
 }
 
-// named gives the loop's endpoint under an id; nil where no list has it.
-func (r *Relay) named(id string) *endpoint {
-	e, _ := r.directory.Find(id)
-	return r.endpoint(decide.Endpoint(e.Number))
+// endpointByID returns the loop's endpoint with the given id, or nil if the directory does not have it.
+func (r *Relay) endpointByID(id string) *endpoint {
+	entry, _ := r.directory.Find(id)
+	return r.endpoint(decide.Endpoint(entry.Number))
 }
 
-// Guards the memory on a long day: endpoints come under ever new ids, also at
-// the address of one that has gone, and what has gone is forgotten. A new id
-// inherits nothing there; one that is told to wait keeps that while it is away.
+// TestReplacedEndpointsAreForgotten: memory use stays bounded while endpoints are replaced by endpoints with new ids,
+// also at the address of a removed one. Removed endpoints are forgotten, and a new id inherits nothing at such an
+// address. An endpoint that asked for a wait is kept after its removal until the wait is over.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
-	r := testRelay(t)
-	up := func(i int) Member {
-		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Cell: i % 3, Phase: phaseUp, Size: 5}
+	relay := newTestRelay(t)
+	newMember := func(i int) Member {
+		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Cell: i % 3,
+			Phase: phaseUp, Size: 5}
 	}
-	r.told(t, &List{Complete: true, Members: []Member{up(0), up(1), up(2)}})
-	r.step()
-	waits := r.named("s-1")
-	waits.waitUntil = r.now() + decide.Time(1800e6)
-	most, size := 0, r.directory.Size()
+	relay.receiveList(t, &List{Complete: true, Members: []Member{newMember(0), newMember(1), newMember(2)}})
+	relay.step()
+	waiting := relay.endpointByID("s-1")
+	waiting.waitUntil = relay.now() + decide.Time(1800e6)
+	maxEndpoints, sizeBefore := 0, relay.directory.Size()
 	for i := 3; i < 3000; i++ {
-		old := r.named(up(i - 3).ID)
-		leaves := up(i - 3)
-		leaves.Phase = phaseRemoved
-		r.told(t, &List{Members: []Member{leaves, up(i)}})
-		r.step()
-		fresh := r.named(up(i).ID)
-		if fresh.conns == old.conns || fresh.num == old.num || !old.conns.closed {
-			t.Fatalf("%s inherits from %s", fresh.id, old.id)
+		previous := relay.endpointByID(newMember(i - 3).ID)
+		removed := newMember(i - 3)
+		removed.Phase = phaseRemoved
+		relay.receiveList(t, &List{Members: []Member{removed, newMember(i)}})
+		relay.step()
+		replacement := relay.endpointByID(newMember(i).ID)
+		if replacement.conns == previous.conns || replacement.num == previous.num || !previous.conns.closed {
+			t.Fatalf("%s inherits the state of %s", replacement.id, previous.id)
 		}
-		r.clock.(*clock.Manual).Advance(time.Second)
-		most = max(most, len(r.endpoints))
+		relay.clock.(*clock.Manual).Advance(time.Second)
+		maxEndpoints = max(maxEndpoints, len(relay.endpoints))
 	}
-	if listed, _ := r.directory.Len(); most > 20 || listed != 3 || r.directory.Size() > size+16<<10 {
-		t.Errorf("%d endpoints kept, %d listed, %d bytes", most, listed, r.directory.Size())
+	if listed, _ := relay.directory.Len(); maxEndpoints > 20 || listed != 3 ||
+		relay.directory.Size() > sizeBefore+16<<10 {
+		t.Errorf("got %d endpoints kept, %d listed and %d bytes, want at most 20, 3 and 16 KiB more than at first",
+			maxEndpoints, listed, relay.directory.Size())
 	}
 	for dest := range 6 {
-		if r.directory.Named(dest) != (dest < 3) {
-			t.Errorf("destination %d is named: %v", dest, dest >= 3)
+		if relay.directory.Named(dest) != (dest < 3) {
+			t.Errorf("destination %d known: got %v", dest, dest >= 3)
 		}
 	}
-	if r.named("s-1") != nil || r.endpoints[waits.num] != nil {
-		t.Error("kept though its wait is over")
+	if relay.endpointByID("s-1") != nil || relay.endpoints[waiting.num] != nil {
+		t.Error("a removed endpoint is kept after its wait is over")
 	}
 }
 
-// Guards against destinations that do not exist: each would be held in vain,
-// and kept by the policy for good. One whose endpoints have all gone for now
-// is known, and where no list was ever heard nothing can be said.
+// TestUnknownDestinations: messages for destinations that do not exist are refused. They would be held in vain, and the
+// policy would keep their destinations for ever. A destination whose endpoints are all removed is still known. Before
+// the first list, messages for any destination are held.
 func TestUnknownDestinations(t *testing.T) {
-	r := testRelay(t)
+	relay := newTestRelay(t)
 	put := func(id string, dest int) string {
-		q := &putRequest{record: &record{ID: id, Class: "plain", Dest: dest, Deadline: r.clock.Now().Add(time.Minute)}, reply: make(chan string, 1)}
-		r.admit(q)
+		request := &putRequest{record: &record{ID: id, Class: "plain", Dest: dest,
+			Deadline: relay.clock.Now().Add(time.Minute)}, reply: make(chan string, 1)}
+		relay.admit(request)
 		select {
-		case s := <-q.reply:
-			return s
+		case reply := <-request.reply:
+			return reply
 		default:
 			return "held"
 		}
 	}
-	if s := put("early", 5); s != "held" {
-		t.Errorf("before any list: %q", s)
+	if reply := put("early", 5); reply != "held" {
+		t.Errorf("reply before any list: got %q, want the message held", reply)
 	}
-	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Cell: 1, Phase: phaseUp, Size: 5}
-	r.told(t, &List{Complete: true, Members: []Member{m}})
-	m.Phase = phaseRemoved
-	r.told(t, &List{Members: []Member{m}})
-	if s := put("known", 1); s != "held" {
-		t.Errorf("gone for now: %q", s)
+	member := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Cell: 1, Phase: phaseUp, Size: 5}
+	relay.receiveList(t, &List{Complete: true, Members: []Member{member}})
+	member.Phase = phaseRemoved
+	relay.receiveList(t, &List{Members: []Member{member}})
+	if reply := put("known", 1); reply != "held" {
+		t.Errorf("reply for a destination without endpoints: got %q, want the message held", reply)
 	}
-	held := r.heldCount
+	heldBefore := relay.heldCount
 	for i := range 1000 {
-		if s := put(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(s, "-ERR ") {
-			t.Fatalf("unknown: %q", s)
+		if reply := put(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(reply, "-ERR ") {
+			t.Fatalf("reply for an unknown destination: got %q, want an error", reply)
 		}
 	}
-	if r.heldCount != held || len(r.messagesByID) != held {
-		t.Errorf("%d held, want %d", r.heldCount, held)
+	if relay.heldCount != heldBefore || len(relay.messagesByID) != heldBefore {
+		t.Errorf("messages held: got %d, want %d", relay.heldCount, heldBefore)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -17,450 +17,482 @@
 	"time"
 )
 
-// site is a relay that can be replaced while it runs: the socket is the test's.
-type site struct {
+// replaceableRelay is a relay whose process can be replaced while it runs. The test owns the listening socket and
+// passes it to each process.
+type replaceableRelay struct {
 	env    map[string]string
 	socket *os.File
 }
 
-func newSite(t *testing.T, d *fakeDiscovery) *site {
+func newReplaceableRelay(t *testing.T, discovery *fakeDiscovery) *replaceableRelay {
 	t.Helper()
-	env := testConfig(t, d, 3)
-	ln, err := net.Listen("tcp", env["ROUTER_LISTEN"])
+	env := testConfig(t, discovery, 3)
+	listener, err := net.Listen("tcp", env["ROUTER_LISTEN"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	f, err := ln.(*net.TCPListener).File()
+	defer listener.Close()
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { f.Close() })
-	return &site{env, f}
+	t.Cleanup(func() { file.Close() })
+	return &replaceableRelay{env, file}
 }
 
-// start starts a process of the relay, with a door of its own, and waits until
-// that says yes.
-func (s *site) start(t *testing.T) *child {
+// startProcess starts a process of the relay with an operator port of its own, and waits until READY is acknowledged
+// there.
+func (r *replaceableRelay) startProcess(t *testing.T) *child {
 	t.Helper()
-	env := maps.Clone(s.env)
+	env := maps.Clone(r.env)
 	env["ROUTER_OPS"] = freeAddr(t)
-	c := launchChild(t, env, s.socket)
+	process := launchChild(t, env, r.socket)
 	waitForOperatorPort(t, env["ROUTER_OPS"])
-	return c
+	return process
 }
 
-func (c *child) ended(t *testing.T) {
+// waitExit waits for the process to end by itself with exit status 0.
+func (c *child) waitExit(t *testing.T) {
 	t.Helper()
-	done := make(chan error, 1)
-	go func() { done <- c.cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- c.cmd.Wait() }()
 	select {
-	case err := <-done:
+	case err := <-exited:
 		if err != nil {
-			t.Errorf("exit: %v", err)
+			t.Errorf("exit status: got %v, want 0", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the old process does not end")
+		t.Fatal("the predecessor process has not ended within 20 s")
 	}
 }
 
-// gate is an endpoint's answer that waits to be let through.
-type gate struct {
+// responseGate holds back the responses of an endpoint until open is closed.
+type responseGate struct {
 	open    chan struct{}
-	entered atomic.Int32
+	arrived atomic.Int32 // calls that have arrived
 }
 
-func newGate() *gate { return &gate{open: make(chan struct{})} }
+func newResponseGate() *responseGate { return &responseGate{open: make(chan struct{})} }
 
-func (g *gate) answer(w http.ResponseWriter, r *http.Request, _ int) {
-	g.entered.Add(1)
+func (g *responseGate) respond(w http.ResponseWriter, r *http.Request, _ int) {
+	g.arrived.Add(1)
 	select {
 	case <-g.open:
 	case <-r.Context().Done():
 	}
 }
 
-// Guards what one relay owes while one process takes over from another. A call
-// that is out is carried to its end and nothing of it is sent twice, whatever
-// it ends with; what waits is sent by the new process; a wait that was told
-// binds it; a client's idle connection is closed and a request under way there
-// is answered, delivered and heard of; the old one ends by itself. Three times,
-// so that a process that took over hands over too.
+// TestUpgrade: a hand-over from the predecessor process to its successor loses and repeats nothing. The predecessor
+// finishes its calls in flight, and none of their messages is sent twice, whatever the outcome. The successor sends the
+// messages that wait, and respects a Retry-After that the predecessor received. An idle client connection is closed. A
+// request that a client is still writing gets its reply, its message is delivered, and the predecessor reports to the
+// successor that the reply was written. The predecessor then ends by itself. There are three rounds, so that processes
+// that took over hand over in turn.
 func TestUpgrade(t *testing.T) {
-	plain := newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t)
-	s := newSite(t, disc)
-	// Half a command waits here for a whole process to start, which takes a busy
-	// machine longer than a client may take over one.
-	s.env[commandTimeEnv] = "1m"
-	members := []Member{plain.member("s-1", 1)}
-	say := func(m Member) {
-		disc.set(func(d *fakeDiscovery) { d.list.Members = append(d.list.Members, m); d.list.Revision++ })
-	}
-	say(members[0])
+	plainEndpoint := newFakeEndpoint(t, nil)
+	discovery := newFakeDiscovery(t)
+	relay := newReplaceableRelay(t, discovery)
+	// An incomplete command waits here while a process starts. On a busy machine that takes longer than the usual
+	// time limit for a command.
+	relay.env[commandTimeEnv] = "1m"
+	members := []Member{plainEndpoint.member("s-1", 1)}
+	addMember := func(member Member) {
+		discovery.set(func(d *fakeDiscovery) { d.list.Members = append(d.list.Members, member); d.list.Revision++ })
+	}
+	addMember(members[0])
 	type round struct {
-		good, bad, told *fakeEndpoint
-		gate            *gate
-		toldAt          *atomic.Pointer[time.Time] // the first time
+		succeeding, failing, rejecting *fakeEndpoint
+		gate                           *responseGate
+		firstRejection                 *atomic.Pointer[time.Time]
 	}
 	var rounds []round
 	for i := range 3 {
-		g := newGate()
-		toldAt := &atomic.Pointer[time.Time]{}
-		told := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
+		gate := newResponseGate()
+		firstRejection := &atomic.Pointer[time.Time]{}
+		rejecting := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
 			now := time.Now()
-			toldAt.CompareAndSwap(nil, &now)
+			firstRejection.CompareAndSwap(nil, &now)
 			w.Header().Set("Retry-After", "2.5")
 			w.WriteHeader(http.StatusTooManyRequests)
 		})
-		failing := func(w http.ResponseWriter, r *http.Request, n int) {
-			g.answer(w, r, n)
+		respondFailing := func(w http.ResponseWriter, r *http.Request, n int) {
+			gate.respond(w, r, n)
 			w.WriteHeader(http.StatusInternalServerError)
 		}
-		rounds = append(rounds, round{newFakeEndpoint(t, g.answer), newFakeEndpoint(t, failing), told, g, toldAt})
-		say(rounds[i].good.member(fmt.Sprintf("good-%d", i), 10+i))
-		say(rounds[i].bad.member(fmt.Sprintf("bad-%d", i), 20+i))
-		say(rounds[i].told.member(fmt.Sprintf("told-%d", i), 30+i))
-	}
-	old := s.start(t)
-	for i, x := range rounds {
-		cl, half := dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
-		io.WriteString(half, pingCommand)
-		if got := half.line(); got != "+PONG" {
+		rounds = append(rounds, round{newFakeEndpoint(t, gate.respond), newFakeEndpoint(t, respondFailing), rejecting,
+			gate, firstRejection})
+		addMember(rounds[i].succeeding.member(fmt.Sprintf("succeeding-%d", i), 10+i))
+		addMember(rounds[i].failing.member(fmt.Sprintf("failing-%d", i), 20+i))
+		addMember(rounds[i].rejecting.member(fmt.Sprintf("rejecting-%d", i), 30+i))
+	}
+	predecessor := relay.startProcess(t)
+	for i, current := range rounds {
+		client, incomplete := dialClient(t, relay.env["ROUTER_LISTEN"]), dialClient(t, relay.env["ROUTER_LISTEN"])
+		io.WriteString(incomplete, pingCommand)
+		if got := incomplete.line(); got != "+PONG" {
 			t.Fatal(got)
 		}
 		id := func(name string) string { return fmt.Sprintf("%s-%d", name, i) }
-		for name, f := range map[string]string{"good": fields("once", 20000, 10+i), "bad": fields("once", 20000, 20+i),
-			"told": fields("once", 20000, 30+i), "nowhere": fields("once", 20000, 30+i)} {
-			if got := cl.put(id(name), f, []byte("body of "+name)); got != "+OK" {
-				t.Fatalf("%s: %s", id(name), got)
+		for name, messageFields := range map[string]string{"delivered": fields("once", 20000, 10+i),
+			"failed":     fields("once", 20000, 20+i),
+			"rejected-a": fields("once", 20000, 30+i), "rejected-b": fields("once", 20000, 30+i)} {
+			if got := client.put(id(name), messageFields, []byte("body of "+name)); got != "+OK" {
+				t.Fatalf("reply for %s: got %q, want +OK", id(name), got)
 			}
 		}
-		waitFor(t, "the calls", func() bool {
-			return x.gate.entered.Load() == 2 && x.told.count(id("told"))+x.told.count(id("nowhere")) == 1
+		waitFor(t, "the calls to the three endpoints", func() bool {
+			return current.gate.arrived.Load() == 2 &&
+				current.rejecting.count(id("rejected-a"))+current.rejecting.count(id("rejected-b")) == 1
 		})
-		io.WriteString(half, "*5\r\n$7\r\nMSG.PUT\r\n")
-		next := s.start(t)
-		if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the idle connection: %v", err)
+		io.WriteString(incomplete, "*5\r\n$7\r\nMSG.PUT\r\n")
+		successor := relay.startProcess(t)
+		if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read from the idle connection: got error %v, want EOF", err)
 		}
-		fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-		if got := fresh.put(id("fresh"), fields("once", 20000, 1), nil); got != "+OK" {
-			t.Errorf("at the new process: %s", got)
+		newClient := dialClient(t, relay.env["ROUTER_LISTEN"])
+		if got := newClient.put(id("new"), fields("once", 20000, 1), nil); got != "+OK" {
+			t.Errorf("reply of the successor: got %q, want +OK", got)
 		}
-		if got := fresh.put(id("good"), fields("once", 20000, 10+i), nil); got != "+OK" {
-			t.Errorf("an id that the old process took on: %s", got)
+		if got := newClient.put(id("delivered"), fields("once", 20000, 10+i), nil); got != "+OK" {
+			t.Errorf("reply for an id that the predecessor accepted: got %q, want +OK", got)
 		}
-		io.WriteString(half, strings.TrimPrefix(putText(id("half"), fields("once", 20000, 1), nil), "*5\r\n$7\r\nMSG.PUT\r\n"))
-		if got := half.line(); got != "+OK" {
-			t.Errorf("a request under way: %s", got)
+		io.WriteString(incomplete, strings.TrimPrefix(putText(id("incomplete"), fields("once", 20000, 1), nil),
+			"*5\r\n$7\r\nMSG.PUT\r\n"))
+		if got := incomplete.line(); got != "+OK" {
+			t.Errorf("reply to the request completed after the hand-over: got %q, want +OK", got)
 		}
-		if _, err := half.in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("after its answer: %v", err)
+		if _, err := incomplete.in.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read after that reply: got error %v, want EOF", err)
 		}
-		waitFor(t, "what came in meanwhile", func() bool { return plain.count(id("fresh")) == 1 && plain.count(id("half")) == 1 })
-		close(x.gate.open)
-		old.ended(t)
-		waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice(id("bad")); return ok && n.Outcome == noticeGivenUp })
-		x.told.then(nil)
-		waitFor(t, "what was told to wait", func() bool { return x.told.count(id("told"))+x.told.count(id("nowhere")) >= 3 })
-		if waited := time.Since(*x.toldAt.Load()); waited < 2500*time.Millisecond {
-			t.Errorf("sent after %v, a wait of 2.5 s was told", waited)
+		waitFor(t, "the delivery of the messages handed in during the hand-over", func() bool {
+			return plainEndpoint.count(id("new")) == 1 && plainEndpoint.count(id("incomplete")) == 1
+		})
+		close(current.gate.open)
+		predecessor.waitExit(t)
+		waitFor(t, "the notice for the message that may have run", func() bool {
+			n, ok := discovery.notice(id("failed"))
+			return ok && n.Outcome == noticeGivenUp
+		})
+		current.rejecting.then(nil)
+		waitFor(t, "the delivery of the rejected messages", func() bool {
+			return current.rejecting.count(id("rejected-a"))+current.rejecting.count(id("rejected-b")) >= 3
+		})
+		if waited := time.Since(*current.firstRejection.Load()); waited < 2500*time.Millisecond {
+			t.Errorf("wait after the rejection: got %v, want at least the Retry-After of 2.5 s", waited)
 		}
-		for ep, name := range map[*fakeEndpoint]string{x.good: "good", x.bad: "bad"} {
+		for ep, name := range map[*fakeEndpoint]string{current.succeeding: "delivered", current.failing: "failed"} {
 			if n := ep.count(id(name)); n != 1 {
-				t.Errorf("%s went out %d times", id(name), n)
+				t.Errorf("calls with %s: got %d, want 1", id(name), n)
 			}
 		}
-		if n, ok := disc.notice(id("good")); ok {
-			t.Errorf("a delivered message was ended by %+v", n)
+		if n, ok := discovery.notice(id("delivered")); ok {
+			t.Errorf("notice for a delivered message: got %+v, want none", n)
 		}
-		old = next
+		predecessor = successor
 	}
-	left, err := filepath.Glob(filepath.Join(s.env["ROUTER_STATE"], walFileName+"*"))
-	if err != nil || len(left) != 1 {
-		t.Errorf("logs left: %v, %v", left, err)
+	logFiles, err := filepath.Glob(filepath.Join(relay.env["ROUTER_STATE"], walFileName+"*"))
+	if err != nil || len(logFiles) != 1 {
+		t.Errorf("log files after the upgrades: got %v, error %v, want 1 file", logFiles, err)
 	}
 }
 
-// Guards the load that goes on meanwhile: clients that keep their connections
-// are never reset, and what they hand in is delivered once or handed back.
+// TestUpgradeUnderLoad: upgrades while clients keep handing in messages. No client that keeps its connection open is
+// reset, and each accepted message is either delivered once or handed back without a call.
 func TestUpgradeUnderLoad(t *testing.T) {
-	ep := newFakeEndpoint(t, func(http.ResponseWriter, *http.Request, int) { time.Sleep(5 * time.Millisecond) })
-	disc := newFakeDiscovery(t, ep.member("s-1", 1))
-	s := newSite(t, disc)
-	old := s.start(t)
+	endpoint := newFakeEndpoint(t, func(http.ResponseWriter, *http.Request, int) { time.Sleep(5 * time.Millisecond) })
+	discovery := newFakeDiscovery(t, endpoint.member("s-1", 1))
+	relay := newReplaceableRelay(t, discovery)
+	predecessor := relay.startProcess(t)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var n, again atomic.Int32
+	var sequence, reconnects atomic.Int32
 	var mu sync.Mutex
-	var ids []string
+	var acceptedIDs []string
 	for range 4 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			var cl *testClient
+			var client *testClient
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if cl == nil {
-					cl = dialClient(t, s.env["ROUTER_LISTEN"])
+				if client == nil {
+					client = dialClient(t, relay.env["ROUTER_LISTEN"])
 				}
-				id := fmt.Sprintf("m%d", n.Add(1))
-				io.WriteString(cl, putText(id, fields("once", 20000, 1), nil))
-				line, err := cl.in.ReadString('\n')
+				id := fmt.Sprintf("m%d", sequence.Add(1))
+				io.WriteString(client, putText(id, fields("once", 20000, 1), nil))
+				reply, err := client.in.ReadString('\n')
 				switch {
-				case err != nil: // closed between requests: it is sent once more on a new connection
-					again.Add(1)
-					cl.Close()
-					cl = nil
-				case strings.HasPrefix(line, "+OK"):
+				case err != nil: // closed between requests: the next message goes over a new connection
+					reconnects.Add(1)
+					client.Close()
+					client = nil
+				case strings.HasPrefix(reply, "+OK"):
 					mu.Lock()
-					ids = append(ids, id)
+					acceptedIDs = append(acceptedIDs, id)
 					mu.Unlock()
-				case !strings.HasPrefix(line, "-BUSY"):
-					t.Errorf("%s: %q", id, line)
+				case !strings.HasPrefix(reply, "-BUSY"):
+					t.Errorf("reply for %s: got %q, want +OK or -BUSY", id, reply)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
 		}()
 	}
 	for range 3 {
-		time.Sleep(100 * time.Millisecond) // under load; how much decides nothing
-		next := s.start(t)
-		old.signal(t, syscall.SIGTERM)
-		old.ended(t)
-		old = next
+		time.Sleep(100 * time.Millisecond) // clients hand in messages meanwhile; their number does not matter
+		successor := relay.startProcess(t)
+		predecessor.signal(t, syscall.SIGTERM)
+		predecessor.waitExit(t)
+		predecessor = successor
 	}
 	close(stop)
 	wg.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	back := 0
-	for _, id := range ids { // on a busy machine more may come than is held
+	handedBack := 0
+	for _, id := range acceptedIDs { // on a busy machine more may arrive than the relay may hold
 		var n notice
 		ended := false
-		waitFor(t, "the end of "+id, func() bool { n, ended = disc.notice(id); return ended || ep.count(id) > 0 })
-		if c := ep.count(id); ended && (c != 0 || n.Outcome != noticeHandedBack) || !ended && c != 1 {
-			t.Errorf("%s went out %d times and was ended by %+v", id, c, n)
+		waitFor(t, "the delivery or the notice of "+id, func() bool {
+			n, ended = discovery.notice(id)
+			return ended || endpoint.count(id) > 0
+		})
+		if calls := endpoint.count(id); ended && (calls != 0 || n.Outcome != noticeHandedBack) || !ended && calls != 1 {
+			t.Errorf("%s: got %d calls and notice %+v, want 1 call without a notice or no call and handed_back",
+				id, calls, n)
 		}
 		if ended {
-			back++
+			handedBack++
 		}
 	}
-	t.Logf("%d taken on, %d of them handed back, %d sent once more", len(ids), back, again.Load())
+	t.Logf("%d messages accepted, %d of them handed back, %d connections replaced",
+		len(acceptedIDs), handedBack, reconnects.Load())
 }
 
-// Guards the start beside an old process that hangs: the new one serves without
-// it, and what the old one held is taken over once it is gone.
-func TestUpgradeOldHangs(t *testing.T) {
-	shut := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
+// TestUpgradePredecessorHangs: a process that starts while its predecessor hangs serves without a hand-over. It takes
+// over the predecessor's messages once that process has ended.
+func TestUpgradePredecessorHangs(t *testing.T) {
+	rejecting := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, _ int) {
 		w.Header().Set("Retry-After", "15")
 		w.WriteHeader(http.StatusTooManyRequests)
 	})
-	stuck := newFakeEndpoint(t, hang)
-	disc := newFakeDiscovery(t, shut.member("s-1", 1), stuck.member("s-2", 2))
-	s := newSite(t, disc)
-	old := s.start(t)
-	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	for id, dest := range map[string]int{"held": 1, "out": 2} {
-		if got := cl.put(id, fields("once", 20000, dest), nil); got != "+OK" {
+	hanging := newFakeEndpoint(t, hang)
+	discovery := newFakeDiscovery(t, rejecting.member("s-1", 1), hanging.member("s-2", 2))
+	relay := newReplaceableRelay(t, discovery)
+	predecessor := relay.startProcess(t)
+	client := dialClient(t, relay.env["ROUTER_LISTEN"])
+	for id, dest := range map[string]int{"waiting": 1, "in-flight": 2} {
+		if got := client.put(id, fields("once", 20000, dest), nil); got != "+OK" {
 			t.Fatal(got)
 		}
 	}
-	waitFor(t, "the calls", func() bool {
-		text, _ := os.ReadFile(filepath.Join(s.env["ROUTER_STATE"], walFileName))
-		return strings.Contains(string(text), `"kind":"outcome","id":"held"`) && stuck.count("out") == 1
+	waitFor(t, "a rejected and a hanging call", func() bool {
+		logText, _ := os.ReadFile(filepath.Join(relay.env["ROUTER_STATE"], walFileName))
+		return strings.Contains(string(logText), `"kind":"outcome","id":"waiting"`) && hanging.count("in-flight") == 1
+	})
+	predecessor.signal(t, syscall.SIGSTOP)
+	startedAt := time.Now()
+	relay.startProcess(t)
+	if elapsed := time.Since(startedAt); elapsed > 5*time.Second {
+		t.Errorf("time until ready: got %v, want at most 5 s", elapsed)
+	}
+	newClient := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := newClient.put("new", fields("plain", 20000, 2), nil); got != "+OK" {
+		t.Errorf("reply beside the hanging predecessor: got %q, want +OK", got)
+	}
+	if n := hanging.count("in-flight"); n != 1 {
+		t.Errorf("calls with the message that the predecessor has in flight: got %d, want 1", n)
+	}
+	rejecting.then(nil)
+	predecessor.kill()
+	waitFor(t, "the call with the predecessor's waiting message", func() bool { return rejecting.count("waiting") == 2 })
+	waitFor(t, "the notice for the message that may have run", func() bool {
+		n, ok := discovery.notice("in-flight")
+		return ok && n.Outcome == noticeGivenUp
 	})
-	old.signal(t, syscall.SIGSTOP)
-	began := time.Now()
-	s.start(t)
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("ready after %v", took)
-	}
-	fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := fresh.put("fresh", fields("plain", 20000, 2), nil); got != "+OK" {
-		t.Errorf("beside the old process: %s", got)
-	}
-	if n := stuck.count("out"); n != 1 {
-		t.Errorf("went out %d times beside its owner", n)
-	}
-	shut.then(nil)
-	old.kill()
-	waitFor(t, "what the old one held", func() bool { return shut.count("held") == 2 })
-	waitFor(t, "the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := stuck.count("out"); n != 1 {
-		t.Errorf("an unsafe message went out %d times", n)
+	if n := hanging.count("in-flight"); n != 1 {
+		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
 	}
 }
 
-// Guards a new process that hangs or dies half way: the old one keeps what it
-// has and serves on, and the next one gets it.
-func TestUpgradeNewFails(t *testing.T) {
-	g := newGate()
-	ep := newFakeEndpoint(t, g.answer)
-	shut := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
-	s := newSite(t, newFakeDiscovery(t, ep.member("s-1", 1), shut.member("s-2", 2)))
-	old := s.start(t)
-	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("out", fields("once", 20000, 1), nil); got != "+OK" {
+// TestUpgradeSuccessorFails: a successor that hangs or ends in the middle of the hand-over. The predecessor keeps its
+// messages and goes on serving, and the next successor takes them over.
+func TestUpgradeSuccessorFails(t *testing.T) {
+	gate := newResponseGate()
+	endpoint := newFakeEndpoint(t, gate.respond)
+	rejecting := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	relay := newReplaceableRelay(t, newFakeDiscovery(t, endpoint.member("s-1", 1), rejecting.member("s-2", 2)))
+	predecessor := relay.startProcess(t)
+	client := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := client.put("in-flight", fields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	if got := cl.put("held", fields("once", 20000, 2), nil); got != "+OK" {
+	if got := client.put("waiting", fields("once", 20000, 2), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "the calls", func() bool { return g.entered.Load() == 1 && shut.count("held") >= 1 })
-	t.Setenv("TMPDIR", s.env["TMPDIR"])
-	for name, lines := range map[string]string{"gone at once": "", "gone after hello": `{"hello":{}}`,
-		"gone after take": `{"hello":{}}{"take":true}`, "noise": "\x00\xff{{", "hangs": `{"hello":{}}{"take":true}`} {
-		conn, err := net.Dial("unix", handoverSocketPath(s.env["ROUTER_STATE"]))
+	waitFor(t, "a call at each endpoint", func() bool {
+		return gate.arrived.Load() == 1 && rejecting.count("waiting") >= 1
+	})
+	t.Setenv("TMPDIR", relay.env["TMPDIR"])
+	for name, lines := range map[string]string{"ends at once": "", "ends after hello": `{"hello":{}}`,
+		"ends when ready": `{"hello":{}}{"take":true}`, "invalid bytes": "\x00\xff{{",
+		"hangs": `{"hello":{}}{"take":true}`} {
+		conn, err := net.Dial("unix", handoverSocketPath(relay.env["ROUTER_STATE"]))
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(conn, lines)
 		if name != "hangs" {
 			conn.Close()
-		} else { // until the old one has had enough of it
+		} else { // until the predecessor closes the connection
 			io.Copy(io.Discard, conn)
 			conn.Close()
 		}
 		id := "after " + strings.ReplaceAll(name, " ", "-")
 		id = strings.ReplaceAll(id, " ", "-")
-		waitFor(t, "service, "+name, func() bool {
-			cl := dialClient(t, s.env["ROUTER_LISTEN"])
-			defer cl.Close()
-			io.WriteString(cl, putText(id, fields("plain", 20000, 2), nil))
-			line, err := cl.in.ReadString('\n')
+		waitFor(t, "a message to be accepted, successor: "+name, func() bool {
+			client := dialClient(t, relay.env["ROUTER_LISTEN"])
+			defer client.Close()
+			io.WriteString(client, putText(id, fields("plain", 20000, 2), nil))
+			line, err := client.in.ReadString('\n')
 			return err == nil && line == "+OK\r\n"
 		})
 	}
-	close(g.open)
-	s.start(t)
-	old.ended(t)
-	shut.then(nil)
-	waitFor(t, "what waited", func() bool { return shut.count("held") >= 2 && shut.count("after-hangs") >= 1 })
-	if n := ep.count("out"); n != 1 {
-		t.Errorf("went out %d times", n)
+	close(gate.open)
+	relay.startProcess(t)
+	predecessor.waitExit(t)
+	rejecting.then(nil)
+	waitFor(t, "the calls with the waiting messages", func() bool {
+		return rejecting.count("waiting") >= 2 && rejecting.count("after-hangs") >= 1
+	})
+	if n := endpoint.count("in-flight"); n != 1 {
+		t.Errorf("calls with the message that was in flight: got %d, want 1", n)
 	}
 }
 
-// Guards a SIGKILL of the old process while it still carries a call: that call
-// may have run, and everything else goes on.
-func TestUpgradeOldKilled(t *testing.T) {
-	stuck := newFakeEndpoint(t, hang)
-	disc := newFakeDiscovery(t, stuck.member("s-1", 1))
-	s := newSite(t, disc)
-	old := s.start(t)
-	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("once", fields("once", 20000, 1), nil); got != "+OK" {
+// TestUpgradePredecessorKilled: the predecessor gets SIGKILL after the hand-over while it still has a call in flight.
+// The message of that call may have run; everything else continues.
+func TestUpgradePredecessorKilled(t *testing.T) {
+	hanging := newFakeEndpoint(t, hang)
+	discovery := newFakeDiscovery(t, hanging.member("s-1", 1))
+	relay := newReplaceableRelay(t, discovery)
+	predecessor := relay.startProcess(t)
+	client := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := client.put("unsafe", fields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	if got := cl.put("twice", fields("plain", 20000, 1), nil); got != "+OK" {
+	if got := client.put("safe", fields("plain", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "a call", func() bool { return stuck.count("once")+stuck.count("twice") >= 1 })
-	first := "once"
-	if stuck.count("twice") > 0 {
-		first = "twice"
-	}
-	s.start(t)
-	stuck.then(nil)
-	old.kill()
-	if first == "once" {
-		waitFor(t, "notice", func() bool { n, ok := disc.notice("once"); return ok && n.Outcome == noticeGivenUp })
+	waitFor(t, "a call", func() bool { return hanging.count("unsafe")+hanging.count("safe") >= 1 })
+	firstSent := "unsafe"
+	if hanging.count("safe") > 0 {
+		firstSent = "safe"
+	}
+	relay.startProcess(t)
+	hanging.then(nil)
+	predecessor.kill()
+	if firstSent == "unsafe" {
+		waitFor(t, "the notice for the message that may have run", func() bool {
+			n, ok := discovery.notice("unsafe")
+			return ok && n.Outcome == noticeGivenUp
+		})
 	}
-	waitFor(t, "the other", func() bool { return stuck.count("twice") >= 1 })
-	if n := stuck.count("once"); n != 1 && first == "once" {
-		t.Errorf("an unsafe message went out %d times", n)
+	waitFor(t, "a call with the message that is safe to repeat", func() bool { return hanging.count("safe") >= 1 })
+	if n := hanging.count("unsafe"); n != 1 && firstSent == "unsafe" {
+		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
 	}
 }
 
-// A socket that nobody listens at, as a SIGKILL leaves it, is a plain start.
-func TestStaleSocket(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	s := newSite(t, newFakeDiscovery(t, ep.member("s-1", 1)))
-	old := s.start(t)
-	old.kill()
-	s.start(t)
-	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("m", fields("once", 20000, 1), nil); got != "+OK" {
+// TestStaleHandoverSocket: SIGKILL leaves a hand-over socket on which no process listens. The next process starts
+// without a hand-over.
+func TestStaleHandoverSocket(t *testing.T) {
+	endpoint := newFakeEndpoint(t, nil)
+	relay := newReplaceableRelay(t, newFakeDiscovery(t, endpoint.member("s-1", 1)))
+	predecessor := relay.startProcess(t)
+	predecessor.kill()
+	relay.startProcess(t)
+	client := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := client.put("m", fields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
+	waitFor(t, "the call", func() bool { return endpoint.count("m") == 1 })
 }
 
-// Guards the last words of a process that ends: they are heard even where the
-// other one's own words do not get through any more.
-func TestLastWordsAreHeard(t *testing.T) {
-	ln, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
+// TestLastMessagesOfPeerAreReceived: messages that the other process sent before it ended are received, although
+// messages to that process can no longer be written.
+func TestLastMessagesOfPeerAreReceived(t *testing.T) {
+	listener, err := net.Listen("unix", filepath.Join(t.TempDir(), "s"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	conn, err := net.Dial("unix", ln.Addr().String())
+	defer listener.Close()
+	conn, err := net.Dial("unix", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := ln.Accept()
+	remote, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, id := range []string{"a", "b", "c"} { // more than is read at once
-		fmt.Fprintf(other, `{"outcome":{"id":%q,"err":%q}}`, id, strings.Repeat("x", 20<<10))
+	for _, id := range []string{"a", "b", "c"} { // more bytes than one read returns
+		fmt.Fprintf(remote, `{"outcome":{"id":%q,"err":%q}}`, id, strings.Repeat("x", 20<<10))
 	}
-	other.Close()
-	said := make(chan *handoverMessage, 4)
-	hears := newPeer(conn, func(p *peer, h *handoverMessage) {
-		if h != nil {
-			p.send(handoverMessage{Cancel: h.Outcome.ID})
-			time.Sleep(50 * time.Millisecond) // for that to fail; too short a wait only tests less
+	remote.Close()
+	received := make(chan *handoverMessage, 4)
+	local := newPeer(conn, func(p *peer, msg *handoverMessage) {
+		if msg != nil {
+			p.send(handoverMessage{Cancel: msg.Outcome.ID})
+			time.Sleep(50 * time.Millisecond) // for that write to fail; a shorter wait would only test less
 		}
-		said <- h
+		received <- msg
 	})
 	for _, id := range []string{"a", "b", "c"} {
-		if h := <-said; h == nil || h.Outcome.ID != id {
-			t.Fatalf("heard %+v, want %s", h, id)
+		if msg := <-received; msg == nil || msg.Outcome.ID != id {
+			t.Fatalf("received %+v, want the outcome of %s", msg, id)
 		}
 	}
-	if h := <-said; h != nil {
-		t.Fatalf("heard %+v", h)
+	if msg := <-received; msg != nil {
+		t.Fatalf("received %+v, want the end of the connection", msg)
 	}
-	<-hears.closed
+	<-local.closed
 }
 
-// Guards an upgrade where no socket is handed down: the new process listens as
-// soon as the old one lets go of the address.
-func TestUpgradeOfAnOwnListener(t *testing.T) {
-	g := newGate()
-	ep := newFakeEndpoint(t, g.answer)
-	disc := newFakeDiscovery(t, ep.member("s-1", 1))
-	s := &site{env: testConfig(t, disc, 3)}
-	old := s.start(t)
-	cl := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := cl.put("out", fields("once", 20000, 1), nil); got != "+OK" {
+// TestUpgradeWithoutInheritedSocket: an upgrade in which the processes get no listening socket. The successor listens
+// as soon as the predecessor has freed the address.
+func TestUpgradeWithoutInheritedSocket(t *testing.T) {
+	gate := newResponseGate()
+	endpoint := newFakeEndpoint(t, gate.respond)
+	discovery := newFakeDiscovery(t, endpoint.member("s-1", 1))
+	relay := &replaceableRelay{env: testConfig(t, discovery, 3)}
+	predecessor := relay.startProcess(t)
+	client := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := client.put("in-flight", fields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "the call", func() bool { return g.entered.Load() == 1 })
-	s.start(t)
-	// The old process is told of new settings; whoever tells it means the relay.
-	rewrite(t, s.env, replace(`"classes":[`, `"classes":[`+extraClass+","))
-	old.signal(t, syscall.SIGHUP)
-	waitFor(t, "the new class", func() bool {
-		cl := dialClient(t, s.env["ROUTER_LISTEN"])
-		defer cl.Close()
-		return cl.put(fmt.Sprintf("x%d", seq.Add(1)), fields("extra", 20000, 1), nil) == "+OK"
+	waitFor(t, "the call", func() bool { return gate.arrived.Load() == 1 })
+	relay.startProcess(t)
+	// SIGHUP to the predecessor is meant for the relay, so the successor reloads its configuration.
+	rewrite(t, relay.env, replaceFirst(`"classes":[`, `"classes":[`+extraClassJSON+","))
+	predecessor.signal(t, syscall.SIGHUP)
+	waitFor(t, "a message of the new class to be accepted", func() bool {
+		client := dialClient(t, relay.env["ROUTER_LISTEN"])
+		defer client.Close()
+		return client.put(fmt.Sprintf("x%d", seq.Add(1)), fields("extra", 20000, 1), nil) == "+OK"
 	})
-	fresh := dialClient(t, s.env["ROUTER_LISTEN"])
-	if got := fresh.put("fresh", fields("once", 20000, 1), nil); got != "+OK" {
+	newClient := dialClient(t, relay.env["ROUTER_LISTEN"])
+	if got := newClient.put("new", fields("once", 20000, 1), nil); got != "+OK" {
 		t.Error(got)
 	}
-	close(g.open)
-	old.ended(t)
-	waitFor(t, "both", func() bool { return ep.count("out") == 1 && ep.count("fresh") == 1 })
-	if n, ok := disc.notice("out"); ok {
-		t.Errorf("a delivered message was ended by %+v", n)
+	close(gate.open)
+	predecessor.waitExit(t)
+	waitFor(t, "a call with each message", func() bool {
+		return endpoint.count("in-flight") == 1 && endpoint.count("new") == 1
+	})
+	if n, ok := discovery.notice("in-flight"); ok {
+		t.Errorf("notice for a delivered message: got %+v, want none", n)
 	}
 }
--- a/internal/relay/norace_test.go
+++ b/internal/relay/norace_test.go
@@ -2,4 +2,5 @@
 
 package relay
 
+// raceDetector reports whether the race detector is on.
 const raceDetector = false
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -44,9 +44,9 @@
 		t.Errorf("began %v ago", age)
 	}
 	for _, listed := range []bool{true, false} {
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.wal = w
-		list := func() { r.told(t, &List{Revision: 1, Complete: true, Members: []Member{away}}) }
+		list := func() { r.receiveList(t, &List{Revision: 1, Complete: true, Members: []Member{away}}) }
 		if listed {
 			list()
 		}
@@ -55,12 +55,12 @@
 			list()
 		}
 		r.step()
-		num := r.named("s-1").num
+		num := r.endpointByID("s-1").num
 		o, known := r.policy.Outage(num)
 		if !known || decide.Time(r.instant(o.FirstBad)) != found[0].Outage.FirstBad || len(r.unlistedOutages) != 0 {
 			t.Errorf("listed at the start %v: known %v, %+v, want %+v; %d not told", listed, known, o, found[0].Outage, len(r.unlistedOutages))
 		}
-		r.told(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
+		r.receiveList(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
 		r.step() // nothing is known of what is gone
 		ops := w.queue.takeAll(nil)
 		if len(ops) == 0 || ops[len(ops)-1].rec.Kind != recordOutage || ops[len(ops)-1].rec.Outage != nil {
--- a/internal/relay/process_end_test.go
+++ b/internal/relay/process_end_test.go
@@ -9,56 +9,57 @@
 	"troutusher/internal/resp"
 )
 
-// What ends the process ends no request without its answer: one that was read whole
-// waits for it, half a command gets an error, and what is sent from then on is not read.
-func TestEndOfTheProcessAnswers(t *testing.T) {
-	got := make(chan *putRequest, 2)
-	c, addr, said := serveClients(t, func(q *putRequest) { got <- q })
-	whole, half := dialClient(t, addr), dialClient(t, addr)
-	io.WriteString(whole, putText("m", fields("plain", 8000, 1), nil))
-	q := <-got
-	io.WriteString(half, "*5\r\n$7\r\n")
-	waitFor(t, "half a command", func() bool {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for cc := range c.conns {
-			if cc.readingCommand {
+// TestShutdownAnswersOpenRequests: when the process stops reading from its clients, a request that was read to its end
+// still gets its reply, and an incomplete command gets an error reply. Nothing that is sent later is read.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	submitted := make(chan *putRequest, 2)
+	server, addr, written := serveClients(t, func(request *putRequest) { submitted <- request })
+	complete, incomplete := dialClient(t, addr), dialClient(t, addr)
+	io.WriteString(complete, putText("m", fields("plain", 8000, 1), nil))
+	request := <-submitted
+	io.WriteString(incomplete, "*5\r\n$7\r\n")
+	waitFor(t, "the first bytes of the incomplete command to be read", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for conn := range server.conns {
+			if conn.readingCommand {
 				return true
 			}
 		}
 		return false
 	})
-	c.stopReadingAll()
-	if s := half.line(); !strings.HasPrefix(s, "-ERR ") {
-		t.Errorf("half a command: %q", s)
+	server.stopReadingAll()
+	if reply := incomplete.line(); !strings.HasPrefix(reply, "-ERR ") {
+		t.Errorf("reply to the incomplete command: got %q, want an error", reply)
 	}
-	half.expectCleanEOF()
-	q.sendReply(resp.OK)
-	if s := whole.line(); s != "+OK" || !<-said {
-		t.Errorf("answer %q", s)
+	incomplete.expectCleanEOF()
+	request.sendReply(resp.OK)
+	if reply := complete.line(); reply != "+OK" || !<-written {
+		t.Errorf("reply to the complete command: got %q, want +OK, reported as written", reply)
 	}
-	whole.expectCleanEOF()
-	waitFor(t, "the ends", func() bool { return c.count() == 0 })
+	complete.expectCleanEOF()
+	waitFor(t, "the connections to be closed", func() bool { return server.count() == 0 })
 }
 
-// The same in a process that ends: a command that is still half way then is told so.
-func TestHalfACommandAtTheEndOfTheProcess(t *testing.T) {
+// TestIncompleteCommandAtShutdown: a process that gets SIGTERM answers an incomplete command with an error before it
+// ends.
+func TestIncompleteCommandAtShutdown(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	env[commandTimeEnv] = "1m"
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	io.WriteString(cl, pingCommand)
-	if s := cl.line(); s != "+PONG" {
-		t.Fatal(s)
+	process := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	io.WriteString(client, pingCommand)
+	if reply := client.line(); reply != "+PONG" {
+		t.Fatal(reply)
 	}
-	io.WriteString(cl, "*5\r\n$7\r\nMSG.PUT\r\n")
-	c.ready(t) // it has read what came before
-	c.signal(t, syscall.SIGTERM)
-	if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
-		t.Errorf("answer %q", s)
+	io.WriteString(client, "*5\r\n$7\r\nMSG.PUT\r\n")
+	process.ready(t) // by now the process has read the incomplete command
+	process.signal(t, syscall.SIGTERM)
+	if reply := client.line(); !strings.HasPrefix(reply, "-ERR ") {
+		t.Errorf("reply to the incomplete command: got %q, want an error", reply)
 	}
-	cl.expectCleanEOF()
-	if err := c.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+	client.expectCleanEOF()
+	if err := process.cmd.Wait(); err != nil {
+		t.Errorf("exit status: got %v, want 0", err)
 	}
 }
--- a/internal/relay/race_test.go
+++ b/internal/relay/race_test.go
@@ -2,4 +2,5 @@
 
 package relay
 
-const raceDetector = true // which takes several times the memory
+// raceDetector reports whether the race detector is on. With it a process needs several times the memory.
+const raceDetector = true
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-const extraClass = `{"deadline_us":20000000,"dedup_window_us":5000000,"group":"all","late_worth":0.4,"name":"extra","repeat":"fragile","target_us":3000000,"worth":3}`
+// extraClassJSON defines a class that testSettings does not have.
+const extraClassJSON = `{"deadline_us":20000000,"dedup_window_us":5000000,"group":"all","late_worth":0.4,"name":"extra","repeat":"fragile","target_us":3000000,"worth":3}`
 
-func replace(old, new string) func(string) string {
-	return func(s string) string { return strings.Replace(s, old, new, 1) }
+// replaceFirst returns an edit for rewrite that replaces the first occurrence of old.
+func replaceFirst(old, replacement string) func(string) string {
+	return func(text string) string { return strings.Replace(text, old, replacement, 1) }
 }
 
-// Guards a running relay against files that were cut short or are wrong: each
-// is turned down whole, with its discovery, and the relay goes on as it was.
-func TestReplaces(t *testing.T) {
+// TestReloadRejectsInvalidConfig: a running relay rejects a truncated or invalid configuration file as a whole,
+// including its discovery address, and keeps the configuration that it has.
+func TestReloadRejectsInvalidConfig(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
-	get := func(k string) string { return env[k] }
+	get := func(key string) string { return env[key] }
 	text, err := os.ReadFile(env["ROUTER_CONFIG"])
 	if err != nil {
 		t.Fatal(err)
@@ -27,20 +29,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func(text string) error {
-		c, err := parseConfig([]byte(text), get, true)
+	checkReplacement := func(text string) error {
+		replacement, err := parseConfig([]byte(text), get, true)
 		if err != nil {
 			return err
 		}
-		return c.checkCanReplace(running)
+		return replacement.checkCanReplace(running)
 	}
-	if err := read(string(text)); err != nil {
-		t.Fatalf("the same file: %v", err)
+	if err := checkReplacement(string(text)); err != nil {
+		t.Fatalf("the unchanged file: got error %v, want none", err)
 	}
-	if err := read(replace(`"repeat":"fragile"`, `"repeat":"retryable"`)(replace(`"classes":[`, `"classes":[`+extraClass+",")(string(text)))); err != nil {
-		t.Errorf("a class more: %v", err)
+	if err := checkReplacement(replaceFirst(`"repeat":"fragile"`, `"repeat":"retryable"`)(
+		replaceFirst(`"classes":[`, `"classes":[`+extraClassJSON+",")(string(text)))); err != nil {
+		t.Errorf("an additional class: got error %v, want none", err)
 	}
-	for name, x := range map[string]struct{ old, new string }{
+	for name, change := range map[string]struct{ old, new string }{
 		"no settings":        {`"settings"`, `"setting"`},
 		"no discovery":       {`"discovery":"127`, `"disc":"127`},
 		"no seed":            {`"seed"`, `"x"`},
@@ -50,72 +53,80 @@
 		"attempts 0":         {`"most_tries":8`, `"most_tries":0`},
 		"attempts null":      {`"most_tries":8`, `"most_tries":null`},
 		"attempts negative":  {`"most_tries":8`, `"most_tries":-1`},
-		"attempts a word":    {`"most_tries":8`, `"most_tries":"many"`},
+		"attempts text":      {`"most_tries":8`, `"most_tries":"many"`},
 		"no deadline":        {`"deadline_us":20000000,"dedup_window_us":20000000`, `"dedup_window_us":20000000`},
 		"deadline 0":         {`"deadline_us":20000000`, `"deadline_us":0`},
 		"deadline null":      {`"deadline_us":20000000`, `"deadline_us":null`},
-		"deadline a word":    {`"deadline_us":20000000`, `"deadline_us":"20s"`},
+		"deadline text":      {`"deadline_us":20000000`, `"deadline_us":"20s"`},
 		"no classes":         {`"classes"`, `"klasses"`},
-		"no effect":          {`"repeat":"dedup",`, ``},
+		"no repeat":          {`"repeat":"dedup",`, ``},
 		"no name of a class": {`"name":"keyed",`, ``},
 		"no slots":           {`"calls_out"`, `"x"`},
 		"no worth":           {`,"worth":3`, ``},
-		"something behind":   {`"zone":0}}`, `"zone":0}}}`},
+		"trailing text":      {`"zone":0}}`, `"zone":0}}}`},
 		"an empty class":     {`"classes":[`, `"classes":[{},`},
 	} {
-		if changed := strings.Replace(string(text), x.old, x.new, 1); changed == string(text) {
-			t.Errorf("%s: nothing was changed", name)
-		} else if read(changed) == nil {
-			t.Errorf("%s: taken over", name)
+		if changed := strings.Replace(string(text), change.old, change.new, 1); changed == string(text) {
+			t.Errorf("%s: the text to change is not in the file", name)
+		} else if checkReplacement(changed) == nil {
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
-	for n := range len(text) {
-		if read(string(text[:n])) == nil {
-			t.Errorf("cut to %d bytes of %d: taken over", n, len(text))
+	for size := range len(text) {
+		if checkReplacement(string(text[:size])) == nil {
+			t.Errorf("truncated to %d of %d bytes: got no error, want one", size, len(text))
 		}
 	}
 }
 
-// Guards the messages that are held while classes change under them: an unsafe
-// one stays so, though the file calls its class safe, then names it no more, and
-// though the process is killed; a class that the file adds can be named at once.
-func TestRetune(t *testing.T) {
-	ep := newFakeEndpoint(t, hang)
-	shut := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
-	disc := newFakeDiscovery(t, ep.member("s-1", 1), shut.member("s-2", 2))
-	env := testConfig(t, disc, 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	put := func(id, class string, dest int, want string) {
+// TestReloadChangesClasses: a reload changes the classes of pending messages. A message that was accepted as unsafe to
+// repeat keeps that rule when the file declares its class safe, when the file no longer has the class, and when the
+// process is killed afterwards. A message of a class that the file adds is accepted right after the reload.
+func TestReloadChangesClasses(t *testing.T) {
+	hanging := newFakeEndpoint(t, hang)
+	rejecting := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	discovery := newFakeDiscovery(t, hanging.member("s-1", 1), rejecting.member("s-2", 2))
+	env := testConfig(t, discovery, 3)
+	process := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	expectPut := func(id, class string, dest int, want string) {
 		t.Helper()
-		if s := cl.put(id, fields(class, 20000, dest), nil); !strings.HasPrefix(s, want) {
-			t.Fatalf("%s of class %s: %s", id, class, s)
+		if reply := client.put(id, fields(class, 20000, dest), nil); !strings.HasPrefix(reply, want) {
+			t.Fatalf("reply for %s of class %s: got %q", id, class, reply)
 		}
 	}
-	put("out", "once", 1, "+OK")
-	put("held", "once", 2, "+OK")
-	put("early", "extra", 1, "-ERR")
-	waitFor(t, "the calls", func() bool { return ep.count("out") == 1 && shut.count("held") >= 1 })
-	rewrite(t, env, func(s string) string {
-		return replace(`"repeat":"fragile"`, `"repeat":"retryable"`)(replace(`"classes":[`, `"classes":[`+strings.Replace(extraClass, "fragile", "dedup", 1)+",")(s))
+	expectPut("in-flight", "once", 1, "+OK")
+	expectPut("waiting", "once", 2, "+OK")
+	expectPut("too-early", "extra", 1, "-ERR")
+	waitFor(t, "a call at each endpoint", func() bool {
+		return hanging.count("in-flight") == 1 && rejecting.count("waiting") >= 1
 	})
-	c.signal(t, syscall.SIGHUP)
-	waitFor(t, "the new class", func() bool {
-		return cl.put("x", "c=extra,t=acme,d=20000,dest=2,k=k1", nil) == "+OK"
+	rewrite(t, env, func(text string) string {
+		return replaceFirst(`"repeat":"fragile"`, `"repeat":"retryable"`)(
+			replaceFirst(`"classes":[`, `"classes":[`+strings.Replace(extraClassJSON, "fragile", "dedup", 1)+",")(text))
 	})
-	// Now the class of what is held goes altogether.
-	rewrite(t, env, replace(`"name":"once"`, `"name":"other"`))
-	c.signal(t, syscall.SIGHUP)
-	waitFor(t, "its end", func() bool { return strings.HasPrefix(cl.put("y", fields("once", 20000, 1), nil), "-ERR") })
-	waitFor(t, "held goes on", func() bool { n := shut.count("held"); return n >= 2 })
-	c.kill()
-	for _, e := range []*fakeEndpoint{ep, shut} {
-		e.then(nil)
+	process.signal(t, syscall.SIGHUP)
+	waitFor(t, "a message of the new class to be accepted", func() bool {
+		return client.put("x", "c=extra,t=acme,d=20000,dest=2,k=k1", nil) == "+OK"
+	})
+	// The next reload removes the class of the pending messages.
+	rewrite(t, env, replaceFirst(`"name":"once"`, `"name":"other"`))
+	process.signal(t, syscall.SIGHUP)
+	waitFor(t, "messages of the removed class to be refused", func() bool {
+		return strings.HasPrefix(client.put("y", fields("once", 20000, 1), nil), "-ERR")
+	})
+	waitFor(t, "a retry of the waiting message", func() bool { n := rejecting.count("waiting"); return n >= 2 })
+	process.kill()
+	for _, endpoint := range []*fakeEndpoint{hanging, rejecting} {
+		endpoint.then(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "the one that never ran", func() bool { return shut.count("held") >= 3 })
-	waitFor(t, "notice of the one that may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := ep.count("out"); n != 1 {
-		t.Errorf("an unsafe message went out %d times", n)
+	waitFor(t, "a call with the message that never ran", func() bool { return rejecting.count("waiting") >= 3 })
+	waitFor(t, "the notice for the message that may have run", func() bool {
+		n, ok := discovery.notice("in-flight")
+		return ok && n.Outcome == noticeGivenUp
+	})
+	if n := hanging.count("in-flight"); n != 1 {
+		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
 	}
 }
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -16,140 +16,141 @@
 	"time"
 )
 
-// bigAgent is an agent whose list is made as it is asked for: destinations 0 and up of
-// two endpoints each, all at one address.
-type bigAgent struct {
+// generatedDiscovery is a discovery server that generates its list while it writes it: consecutive destinations from 0
+// with two endpoints each, all at one address.
+type generatedDiscovery struct {
 	*httptest.Server
-	hostPort string
-	mu       sync.Mutex
-	dests    int
-	rev      int64
-	phases   map[int]string // of endpoints that are not up
-	addrs    map[int]string // of those at another address
-	known    int64          // watches from before it get the whole list
-	cut      int            // endpoints after which whole lists break off, so many times
-	cuts     int
-	fetches  int
-	froms    []string
-	lines    []chan string
-	done     chan struct{}
-	wholes   int // lists served to their end
+	hostPort            string
+	mu                  sync.Mutex
+	destCount           int
+	revision            int64
+	phaseOverrides      map[int]string // by index, the phase of endpoints that are not up
+	addrOverrides       map[int]string // by index, the address of endpoints at another address
+	oldestKnownRevision int64          // a watch from an older revision gets the full list
+	truncateAt          int            // endpoints after which a truncated list ends
+	truncations         int            // how many of the next full lists are truncated
+	listFetches         int
+	watchRevisions      []string
+	watches             []chan string // lines to send, by watch
+	stopped             chan struct{}
+	completedLists      int // full lists that were sent to their end
 }
 
-func newBigAgent(t *testing.T, dests int, hostPort string) *bigAgent {
-	a := &bigAgent{dests: dests, hostPort: hostPort, rev: 1, phases: map[int]string{}, addrs: map[int]string{}, done: make(chan struct{})}
-	a.Server = httptest.NewServer(http.HandlerFunc(a.serve))
-	t.Cleanup(func() { close(a.done); a.CloseClientConnections(); a.Close() })
-	return a
+func newGeneratedDiscovery(t *testing.T, destCount int, hostPort string) *generatedDiscovery {
+	discovery := &generatedDiscovery{destCount: destCount, hostPort: hostPort, revision: 1,
+		phaseOverrides: map[int]string{}, addrOverrides: map[int]string{}, stopped: make(chan struct{})}
+	discovery.Server = httptest.NewServer(http.HandlerFunc(discovery.serve))
+	t.Cleanup(func() { close(discovery.stopped); discovery.CloseClientConnections(); discovery.Close() })
+	return discovery
 }
 
-func (a *bigAgent) addr() string { return a.Listener.Addr().String() }
+func (d *generatedDiscovery) addr() string { return d.Listener.Addr().String() }
 
-func (a *bigAgent) set(f func()) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	f()
+func (d *generatedDiscovery) update(change func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	change()
 }
 
-// entry appends an endpoint of the list; the caller holds the lock.
-func (a *bigAgent) entry(b []byte, i int) []byte {
-	phase, addr := "up", a.hostPort
-	if x := a.phases[i]; x != "" {
-		phase = x
+// appendMember appends the list entry of an endpoint to buffer. The caller holds mu.
+func (d *generatedDiscovery) appendMember(buffer []byte, index int) []byte {
+	phase, addr := "up", d.hostPort
+	if override := d.phaseOverrides[index]; override != "" {
+		phase = override
 	}
-	if x := a.addrs[i]; x != "" {
-		addr = x
+	if override := d.addrOverrides[index]; override != "" {
+		addr = override
 	}
-	b = append(b, `{"id":"s-`...)
-	b = strconv.AppendInt(b, int64(10_000_000+i), 10)
-	b = append(append(append(b, `","host_port":"`...), addr...), `","locality":"a","flavor":"k","cell":`...)
-	b = strconv.AppendInt(b, int64(i/2), 10)
-	return append(append(append(b, `,"phase":"`...), phase...), `","size":1000,"up_since_ms":0}`...)
+	buffer = append(buffer, `{"id":"s-`...)
+	buffer = strconv.AppendInt(buffer, int64(10_000_000+index), 10)
+	buffer = append(append(append(buffer, `","host_port":"`...), addr...), `","locality":"a","flavor":"k","cell":`...)
+	buffer = strconv.AppendInt(buffer, int64(index/2), 10)
+	return append(append(append(buffer, `,"phase":"`...), phase...), `","size":1000,"up_since_ms":0}`...)
 }
 
-// list writes the whole list in one line; false where it is cut.
-func (a *bigAgent) list(w io.Writer) bool {
-	out := bufio.NewWriterSize(w, 64<<10)
-	a.mu.Lock()
-	dests, rev, cut := a.dests, a.rev, a.cuts
-	a.cuts = max(a.cuts-1, 0)
-	a.mu.Unlock()
-	fmt.Fprintf(out, `{"revision":%d,"complete":true,"members":[`, rev)
-	var b []byte
-	for i := 0; i < 2*dests; i++ {
-		if cut > 0 && i == a.cut {
-			out.Flush()
+// writeList writes the full list as one line. It reports false if the list was truncated or a write failed.
+func (d *generatedDiscovery) writeList(writer io.Writer) bool {
+	buffered := bufio.NewWriterSize(writer, 64<<10)
+	d.mu.Lock()
+	destCount, revision, truncations := d.destCount, d.revision, d.truncations
+	d.truncations = max(d.truncations-1, 0)
+	d.mu.Unlock()
+	fmt.Fprintf(buffered, `{"revision":%d,"complete":true,"members":[`, revision)
+	var buffer []byte
+	for i := 0; i < 2*destCount; i++ {
+		if truncations > 0 && i == d.truncateAt {
+			buffered.Flush()
 			return false
 		}
-		if b = b[:0]; i > 0 {
-			b = append(b, ',')
+		if buffer = buffer[:0]; i > 0 {
+			buffer = append(buffer, ',')
 		}
-		a.mu.Lock()
-		b = a.entry(b, i)
-		a.mu.Unlock()
-		out.Write(b)
+		d.mu.Lock()
+		buffer = d.appendMember(buffer, i)
+		d.mu.Unlock()
+		buffered.Write(buffer)
 	}
-	io.WriteString(out, "]}\n")
-	return out.Flush() == nil
+	io.WriteString(buffered, "]}\n")
+	return buffered.Flush() == nil
 }
 
-// change is a line that names some endpoints, and makes it the newest version.
-func (a *bigAgent) change(which ...int) string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.rev++
-	b := fmt.Appendf(nil, `{"revision":%d,"complete":false,"members":[`, a.rev)
-	for n, i := range which {
+// newDelta starts a new revision and returns it as a line with the entries of the given endpoints.
+func (d *generatedDiscovery) newDelta(indexes ...int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.revision++
+	buffer := fmt.Appendf(nil, `{"revision":%d,"complete":false,"members":[`, d.revision)
+	for n, i := range indexes {
 		if n > 0 {
-			b = append(b, ',')
+			buffer = append(buffer, ',')
 		}
-		b = a.entry(b, i)
+		buffer = d.appendMember(buffer, i)
 	}
-	return string(append(b, "]}\n"...))
+	return string(append(buffer, "]}\n"...))
 }
 
-func (a *bigAgent) serve(w http.ResponseWriter, r *http.Request) {
+func (d *generatedDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	from := r.URL.Query().Get("from")
 	if r.URL.Query().Get("watch") == "" {
-		a.set(func() { a.fetches++ })
-		if !a.list(w) {
+		d.update(func() { d.listFetches++ })
+		if !d.writeList(w) {
 			panic(http.ErrAbortHandler)
 		}
-		a.set(func() { a.wholes++ })
+		d.update(func() { d.completedLists++ })
 		return
 	}
 	lines := make(chan string, 16)
-	old := false
-	a.set(func() {
-		a.froms = append(a.froms, from)
-		n, _ := strconv.ParseInt(from, 10, 64)
-		old = n < a.known
+	unknownRevision := false
+	d.update(func() {
+		d.watchRevisions = append(d.watchRevisions, from)
+		fromRevision, _ := strconv.ParseInt(from, 10, 64)
+		unknownRevision = fromRevision < d.oldestKnownRevision
 	})
-	if old {
-		if !a.list(w) {
+	if unknownRevision {
+		if !d.writeList(w) {
 			panic(http.ErrAbortHandler)
 		}
-		a.set(func() { a.wholes++ })
+		d.update(func() { d.completedLists++ })
 	}
 	io.WriteString(w, "\n")
 	w.(http.Flusher).Flush()
-	a.set(func() { a.lines = append(a.lines, lines) })
+	d.update(func() { d.watches = append(d.watches, lines) })
 	for {
 		select {
-		case s := <-lines:
-			if s == "whole" {
-				a.list(w)
-				a.set(func() { a.wholes++ })
+		case line := <-lines:
+			if line == "full" {
+				d.writeList(w)
+				d.update(func() { d.completedLists++ })
 			} else {
-				io.WriteString(w, s)
+				io.WriteString(w, line)
 			}
 		case <-r.Context().Done():
 			return
-		case <-a.done:
+		case <-d.stopped:
 			return
 		case <-time.After(time.Second):
 			io.WriteString(w, "\n")
@@ -158,61 +159,62 @@
 	}
 }
 
-// say sends a line on the newest watch; "whole" is the whole list.
-func (a *bigAgent) say(t *testing.T, line string) {
+// sendLine sends a line on the newest watch. The line "full" stands for the full list.
+func (d *generatedDiscovery) sendLine(t *testing.T, line string) {
 	t.Helper()
-	waitFor(t, "a watch", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.lines) > 0 })
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.lines[len(a.lines)-1] <- line
+	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.watches) > 0 })
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watches[len(d.watches)-1] <- line
 }
 
-// scaleRelay is a relay beside a big agent.
+// scaleRelay is a relay process with a generatedDiscovery, and a client of it.
 type scaleRelay struct {
-	t    *testing.T
-	c    *child
-	cl   *testClient
-	used time.Time // of the client's connection, which the relay ends when it is idle for long
-	n    int
+	t            *testing.T
+	process      *child
+	client       *testClient
+	clientUsedAt time.Time // last use of the client's connection, which the relay closes after idleTimeout
+	messageCount int
 }
 
-// put hands a message in, on a new connection where the last one may have been ended.
+// put hands in a message and returns the reply. It opens a new connection if the last one may be closed as idle.
 func (r *scaleRelay) put(id string, dest int) string {
 	r.t.Helper()
-	if time.Since(r.used) > idleTimeout/4 {
-		r.cl = dialClient(r.t, r.c.env["ROUTER_LISTEN"])
+	if time.Since(r.clientUsedAt) > idleTimeout/4 {
+		r.client = dialClient(r.t, r.process.env["ROUTER_LISTEN"])
 	}
-	r.used = time.Now()
-	r.cl.SetDeadline(r.used.Add(30 * time.Second))
-	return r.cl.put(id, fields("plain", 20000, dest), nil)
+	r.clientUsedAt = time.Now()
+	r.client.SetDeadline(r.clientUsedAt.Add(30 * time.Second))
+	return r.client.put(id, fields("plain", 20000, dest), nil)
 }
 
-func scaleConfig(t *testing.T, a *bigAgent, memoryMB int) map[string]string {
-	env := testConfig(t, &fakeDiscovery{Server: a.Server}, 3)
+// writeScaleConfig writes a configuration with the given memory limit and returns the environment that names it.
+func writeScaleConfig(t *testing.T, discovery *generatedDiscovery, memoryMB int) map[string]string {
+	env := testConfig(t, &fakeDiscovery{Server: discovery.Server}, 3)
 	rewrite(t, env, func(text string) string {
 		return strings.Replace(text, `"memory_mb":192`, fmt.Sprintf(`"memory_mb":%d`, memoryMB), 1)
 	})
 	return env
 }
 
-// send hands a message in for a destination, and gives its id.
-func (r *scaleRelay) send(dest int) string {
+// mustPut hands in a message for a destination, which has to be accepted, and returns its id.
+func (r *scaleRelay) mustPut(dest int) string {
 	r.t.Helper()
-	r.n++
-	id := fmt.Sprintf("m-%d-%d", dest, r.n)
-	if s := r.put(id, dest); s != "+OK" {
-		r.t.Fatalf("%s: %s", id, s)
+	r.messageCount++
+	id := fmt.Sprintf("m-%d-%d", dest, r.messageCount)
+	if reply := r.put(id, dest); reply != "+OK" {
+		r.t.Fatalf("reply for %s: got %q, want +OK", id, reply)
 	}
 	return id
 }
 
-// goesTo sends to a destination until an endpoint has had a message for it.
-func (r *scaleRelay) goesTo(e *fakeEndpoint, dest int) {
+// waitForCallAt hands in messages for a destination until the endpoint gets a call with one of them.
+func (r *scaleRelay) waitForCallAt(endpoint *fakeEndpoint, dest int) {
 	r.t.Helper()
-	waitFor(r.t, fmt.Sprintf("a message for %d at its endpoint", dest), func() bool {
-		id := r.send(dest)
+	waitFor(r.t, fmt.Sprintf("a call for destination %d at the expected endpoint", dest), func() bool {
+		id := r.mustPut(dest)
 		for range 20 {
-			if e.count(id) > 0 {
+			if endpoint.count(id) > 0 {
 				return true
 			}
 			time.Sleep(time.Millisecond)
@@ -221,8 +223,8 @@
 	})
 }
 
-// memory gives the most that the process has used and what it uses now, in MB.
-func (c *child) memory(t *testing.T) (most, now int) {
+// memoryUsage returns the peak and the current resident memory of the process in MB.
+func (c *child) memoryUsage(t *testing.T) (peak, current int) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 	if err != nil {
@@ -231,156 +233,187 @@
 	for line := range strings.Lines(string(text)) {
 		var kb int
 		if n, _ := fmt.Sscanf(line, "VmHWM: %d kB", &kb); n == 1 {
-			most = kb >> 10
+			peak = kb >> 10
 		} else if n, _ := fmt.Sscanf(line, "VmRSS: %d kB", &kb); n == 1 {
-			now = kb >> 10
+			current = kb >> 10
 		}
 	}
-	return most, now
+	return peak, current
 }
 
-// The size that the fleet is designed for.
-const fleetDests = 880_000
+// fleetDestCount is the number of destinations that the relay is designed for.
+const fleetDestCount = 880_000
 
-// A relay with 256 MB serves a list of 880,000 destinations: from a start without one, over
-// changes and a whole list on the watch, and after a restart with the list in its configuration.
-func TestFleetOfDestinations(t *testing.T) {
-	ep, moved := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	a := newBigAgent(t, fleetDests, ep.addr())
-	env := scaleConfig(t, a, 256)
-	began := time.Now()
-	r := &scaleRelay{t: t, c: startChild(t, env)}
-	ready := time.Since(began)
-	for _, dest := range []int{0, fleetDests / 3, fleetDests - 1} {
-		id := r.send(dest)
-		waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
+// TestLargeFleet: a relay with 256 MB of memory serves a list of 880,000 destinations: after a start without a list,
+// during deltas and a full list on the watch, and after a restart with the list in its configuration.
+func TestLargeFleet(t *testing.T) {
+	endpoint, movedTo := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	discovery := newGeneratedDiscovery(t, fleetDestCount, endpoint.addr())
+	env := writeScaleConfig(t, discovery, 256)
+	startedAt := time.Now()
+	relay := &scaleRelay{t: t, process: startChild(t, env)}
+	readyAfter := time.Since(startedAt)
+	for _, dest := range []int{0, fleetDestCount / 3, fleetDestCount - 1} {
+		id := relay.mustPut(dest)
+		waitFor(t, "the call with "+id, func() bool { return endpoint.count(id) == 1 })
 	}
-	served := time.Since(began)
-	most, now := r.c.memory(t)
-	t.Logf("without a list: ready after %v, all served after %v, %d MB at most, %d MB now", ready, served, most, now)
+	servedAfter := time.Since(startedAt)
+	peak, current := relay.process.memoryUsage(t)
+	t.Logf("start without a list: ready after %v, all destinations served after %v, memory peak %d MB, current %d MB",
+		readyAfter, servedAfter, peak, current)
 
-	// A change of one entry.
-	began = time.Now()
-	a.set(func() { a.phases[2*77_777] = "draining"; a.addrs[2*77_777+1] = moved.addr() })
-	a.say(t, a.change(2*77_777, 2*77_777+1))
-	r.goesTo(moved, 77_777)
-	t.Logf("a change is in force after %v", time.Since(began))
+	// A delta for one destination.
+	startedAt = time.Now()
+	discovery.update(func() {
+		discovery.phaseOverrides[2*77_777] = "draining"
+		discovery.addrOverrides[2*77_777+1] = movedTo.addr()
+	})
+	discovery.sendLine(t, discovery.newDelta(2*77_777, 2*77_777+1))
+	relay.waitForCallAt(movedTo, 77_777)
+	t.Logf("a delta takes effect after %v", time.Since(startedAt))
 
-	// A whole list on the watch, with messages beside it. A drain in it binds long before its end.
-	a.set(func() {
-		a.rev++
-		a.phases[2], a.addrs[3] = "draining", moved.addr() // destination 1
-		for i := fleetDests; i < fleetDests+2000; i++ {
-			a.phases[i] = "draining"
+	// A full list on the watch while messages are handed in. A drain in it takes effect long before the list ends.
+	discovery.update(func() {
+		discovery.revision++
+		discovery.phaseOverrides[2], discovery.addrOverrides[3] = "draining", movedTo.addr() // destination 1
+		for i := fleetDestCount; i < fleetDestCount+2000; i++ {
+			discovery.phaseOverrides[i] = "draining"
 		}
 	})
-	a.set(func() { a.wholes = 0 })
-	a.say(t, "whole")
-	var took []time.Duration
-	for over := false; !over; {
-		a.set(func() { over = a.wholes > 0 })
-		began := time.Now()
-		r.send(fleetDests - 1 - r.n%1000)
-		took = append(took, time.Since(began))
+	discovery.update(func() { discovery.completedLists = 0 })
+	discovery.sendLine(t, "full")
+	var durations []time.Duration
+	for listSent := false; !listSent; {
+		discovery.update(func() { listSent = discovery.completedLists > 0 })
+		startedAt := time.Now()
+		relay.mustPut(fleetDestCount - 1 - relay.messageCount%1000)
+		durations = append(durations, time.Since(startedAt))
 	}
-	slices.Sort(took)
-	t.Logf("beside a whole list: %d messages taken, half within %v, 99%% within %v, all within %v", len(took), took[len(took)/2],
-		took[len(took)*99/100], took[len(took)-1])
-	r.goesTo(moved, 1)
-	most, now = r.c.memory(t)
-	t.Logf("after it: %d MB at most, %d MB now", most, now)
-	if most >= 256 && !raceDetector {
-		t.Errorf("%d MB used", most)
+	slices.Sort(durations)
+	t.Logf("during a full list: %d messages accepted, half within %v, 99%% within %v, all within %v",
+		len(durations), durations[len(durations)/2], durations[len(durations)*99/100], durations[len(durations)-1])
+	relay.waitForCallAt(movedTo, 1)
+	peak, current = relay.process.memoryUsage(t)
+	t.Logf("after the full list: memory peak %d MB, current %d MB", peak, current)
+	if peak >= 256 && !raceDetector {
+		t.Errorf("memory peak: got %d MB, want less than 256 MB", peak)
 	}
-	if len(took) < 100 {
-		t.Errorf("only %d messages taken beside a whole list", len(took))
+	if len(durations) < 100 {
+		t.Errorf("messages accepted during a full list: got %d, want at least 100", len(durations))
 	}
 
-	// A restart with the list in the configuration, while discovery is silent at first.
-	r.c.kill()
-	f, err := os.OpenFile(env["ROUTER_CONFIG"], os.O_RDWR, 0)
+	// A restart with the list in the configuration, while discovery sends nothing at first.
+	relay.process.kill()
+	file, err := os.OpenFile(env["ROUTER_CONFIG"], os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	f.Seek(-1, io.SeekEnd)
-	io.WriteString(f, `,"known":`)
-	a.list(f)
-	io.WriteString(f, "}")
-	fetches := a.fetches
-	began = time.Now()
-	r.c, r.used = startChild(t, env), time.Time{}
-	ready = time.Since(began)
-	id := r.send(fleetDests/2 + 5000)
-	waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
-	most, now = r.c.memory(t)
-	t.Logf("with a list: ready after %v, served after %v, %d MB at most, %d MB now", ready, time.Since(began), most, now)
-	if most >= 256 && !raceDetector {
-		t.Errorf("%d MB used after a restart", most)
+	defer file.Close()
+	file.Seek(-1, io.SeekEnd)
+	io.WriteString(file, `,"known":`)
+	discovery.writeList(file)
+	io.WriteString(file, "}")
+	fetchesBefore := discovery.listFetches
+	startedAt = time.Now()
+	relay.process, relay.clientUsedAt = startChild(t, env), time.Time{}
+	readyAfter = time.Since(startedAt)
+	id := relay.mustPut(fleetDestCount/2 + 5000)
+	waitFor(t, "the call with "+id, func() bool { return endpoint.count(id) == 1 })
+	peak, current = relay.process.memoryUsage(t)
+	t.Logf("start with a list: ready after %v, served after %v, memory peak %d MB, current %d MB",
+		readyAfter, time.Since(startedAt), peak, current)
+	if peak >= 256 && !raceDetector {
+		t.Errorf("memory peak after the restart: got %d MB, want less than 256 MB", peak)
 	}
-	a.set(func() {
-		if a.fetches != fetches || a.froms[len(a.froms)-1] != fmt.Sprint(a.rev) {
-			t.Errorf("asked for the whole list %d times, watched from %s of %d", a.fetches-fetches, a.froms[len(a.froms)-1], a.rev)
+	discovery.update(func() {
+		if discovery.listFetches != fetchesBefore ||
+			discovery.watchRevisions[len(discovery.watchRevisions)-1] != fmt.Sprint(discovery.revision) {
+			t.Errorf("after the restart: got %d fetches of the list and a watch from revision %s, want 0 and %d",
+				discovery.listFetches-fetchesBefore, discovery.watchRevisions[len(discovery.watchRevisions)-1],
+				discovery.revision)
 		}
 	})
-	r.c.signal(t, syscall.SIGHUP) // the list in the file is passed over
-	r.goesTo(ep, 9)
-	if most, _ = r.c.memory(t); most >= 256 && !raceDetector {
-		t.Errorf("%d MB used after SIGHUP", most)
+	relay.process.signal(t, syscall.SIGHUP) // the list in the file is ignored
+	relay.waitForCallAt(endpoint, 9)
+	if peak, _ = relay.process.memoryUsage(t); peak >= 256 && !raceDetector {
+		t.Errorf("memory peak after SIGHUP: got %d MB, want less than 256 MB", peak)
 	}
 }
 
-// At 100,000 destinations: a list that breaks off leaves the old one, or none, until it has come
-// whole; a change goes on from there; discovery that moves is asked for the whole list anew; and
-// a list that the memory has no room for is turned down, with the old one in force.
-func TestTornAndMovedLists(t *testing.T) {
-	const dests = 100_000
-	ep, moved := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	a, b := newBigAgent(t, dests, ep.addr()), newBigAgent(t, dests, ep.addr())
-	a.set(func() { a.cut, a.cuts = dests, 2 })
-	env := scaleConfig(t, a, 64)
-	r := &scaleRelay{t: t, c: startChild(t, env)}
-	id := r.send(dests - 1)
-	waitFor(t, "the call of "+id, func() bool { return ep.count(id) == 1 })
-	a.set(func() {
-		if a.fetches != 3 {
-			t.Errorf("the list was asked for %d times", a.fetches)
+// TestTruncatedAndOversizedLists: with 100,000 destinations, the relay keeps the list that it has, or none, until a
+// truncated list has arrived completely, and watches from the revision that it has. It fetches the full list again when
+// the discovery address changes. A list that does not fit in its memory is rejected, and the old one stays in use.
+func TestTruncatedAndOversizedLists(t *testing.T) {
+	const destCount = 100_000
+	endpoint, movedTo := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	discovery, nextDiscovery := newGeneratedDiscovery(t, destCount, endpoint.addr()),
+		newGeneratedDiscovery(t, destCount, endpoint.addr())
+	discovery.update(func() { discovery.truncateAt, discovery.truncations = destCount, 2 })
+	env := writeScaleConfig(t, discovery, 64)
+	relay := &scaleRelay{t: t, process: startChild(t, env)}
+	id := relay.mustPut(destCount - 1)
+	waitFor(t, "the call with "+id, func() bool { return endpoint.count(id) == 1 })
+	discovery.update(func() {
+		if discovery.listFetches != 3 {
+			t.Errorf("fetches of the list: got %d, want 2 truncated and 1 complete", discovery.listFetches)
 		}
 	})
-	// A watch that breaks off inside a whole list brings it again from the version before it.
-	waitFor(t, "a watch", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return len(a.lines) > 0 })
-	a.set(func() {
-		a.rev, a.known, a.cuts, a.wholes = 5, 5, 1, 0
-		a.phases[4], a.addrs[5] = "draining", moved.addr()
-		a.phases[2*dests-2], a.addrs[2*dests-1] = "draining", moved.addr()
+	// After a watch that ends within a full list, the next watch starts from the revision before that list.
+	waitFor(t, "a watch", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return len(discovery.watches) > 0
+	})
+	discovery.update(func() {
+		discovery.revision, discovery.oldestKnownRevision, discovery.truncations, discovery.completedLists = 5, 5, 1, 0
+		discovery.phaseOverrides[4], discovery.addrOverrides[5] = "draining", movedTo.addr()
+		discovery.phaseOverrides[2*destCount-2], discovery.addrOverrides[2*destCount-1] = "draining", movedTo.addr()
 	})
-	a.CloseClientConnections()
-	waitFor(t, "the whole list", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.wholes > 0 })
-	r.goesTo(moved, 2)
-	r.goesTo(moved, dests-1)
-	a.set(func() {
-		if last := a.froms[len(a.froms)-1]; last != "1" || a.fetches != 3 {
-			t.Errorf("watched from %s, asked for the list %d times", last, a.fetches)
+	discovery.CloseClientConnections()
+	waitFor(t, "the full list to be sent", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return discovery.completedLists > 0
+	})
+	relay.waitForCallAt(movedTo, 2)
+	relay.waitForCallAt(movedTo, destCount-1)
+	discovery.update(func() {
+		if lastWatch := discovery.watchRevisions[len(discovery.watchRevisions)-1]; lastWatch != "1" ||
+			discovery.listFetches != 3 {
+			t.Errorf("got a watch from revision %s and %d fetches of the list, want 1 and 3",
+				lastWatch, discovery.listFetches)
 		}
 	})
 
-	b.set(func() { b.phases[6], b.addrs[7] = "draining", moved.addr() })
-	rewrite(t, env, func(text string) string { return strings.Replace(text, a.addr(), b.addr(), 1) })
-	r.c.signal(t, syscall.SIGHUP)
-	r.goesTo(moved, 3)
-	r.goesTo(ep, 2)
+	nextDiscovery.update(func() {
+		nextDiscovery.phaseOverrides[6], nextDiscovery.addrOverrides[7] = "draining", movedTo.addr()
+	})
+	rewrite(t, env, func(text string) string {
+		return strings.Replace(text, discovery.addr(), nextDiscovery.addr(), 1)
+	})
+	relay.process.signal(t, syscall.SIGHUP)
+	relay.waitForCallAt(movedTo, 3)
+	relay.waitForCallAt(endpoint, 2)
 
-	// More than there is room for.
-	b.set(func() { b.dests, b.rev, b.wholes = 5*dests, 9, 0; b.addrs[9] = moved.addr(); b.phases[8] = "draining" })
-	asked := 0
-	b.set(func() { asked = b.fetches })
-	b.say(t, "whole")
-	waitFor(t, "the list to be asked for again", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.fetches > asked })
-	r.goesTo(ep, dests-1)
-	if s := r.put("beyond", dests+1); !strings.HasPrefix(s, "-ERR") {
-		t.Errorf("a destination of a list that was turned down: %s", s)
+	// A list that does not fit in the memory limit.
+	nextDiscovery.update(func() {
+		nextDiscovery.destCount, nextDiscovery.revision, nextDiscovery.completedLists = 5*destCount, 9, 0
+		nextDiscovery.addrOverrides[9] = movedTo.addr()
+		nextDiscovery.phaseOverrides[8] = "draining"
+	})
+	fetchesBefore := 0
+	nextDiscovery.update(func() { fetchesBefore = nextDiscovery.listFetches })
+	nextDiscovery.sendLine(t, "full")
+	waitFor(t, "the list to be fetched again", func() bool {
+		nextDiscovery.mu.Lock()
+		defer nextDiscovery.mu.Unlock()
+		return nextDiscovery.listFetches > fetchesBefore
+	})
+	relay.waitForCallAt(endpoint, destCount-1)
+	if reply := relay.put("beyond", destCount+1); !strings.HasPrefix(reply, "-ERR") {
+		t.Errorf("reply for a destination of the rejected list: got %q, want an error", reply)
 	}
-	if most, _ := r.c.memory(t); most > 64 && !raceDetector {
-		t.Errorf("%d MB used of 64", most)
+	if peak, _ := relay.process.memoryUsage(t); peak > 64 && !raceDetector {
+		t.Errorf("memory peak: got %d MB, want at most 64 MB", peak)
 	}
 }
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -12,114 +12,118 @@
 	"testing"
 )
 
-// The least that the platform gives a relay, and the most that it may list.
 const (
-	leastMemory  = 32 // MB
-	leastSockets = 256
-	mostListed   = 1024
+	smallestMemoryMB   = 32   // the least memory that the platform gives a relay
+	smallestSockets    = 256  // the fewest descriptors that the platform gives a relay
+	maxListedEndpoints = 1024 // the most endpoints that the platform lists
 )
 
-// Guards the size of other deployments: as many relays and endpoints as any
-// fleet has, on the smallest machine that there is. The relay serves more
-// endpoints than it may hold connections to, follows a change of the list, and
-// takes SIGHUP and a restart, all within its descriptors and its memory.
+// TestLargestFleetOnSmallestMachine: a relay on the smallest machine, with as many relays and endpoints as any
+// deployment has. It serves more endpoints than it may hold connections to, follows a delta of the list, and handles
+// SIGHUP, a restart and an upgrade, all within its descriptors and its memory.
 func TestLargestFleetOnSmallestMachine(t *testing.T) {
-	ep, fresh := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	held := newFakeEndpoint(t, hang)
-	members := make([]Member, mostListed)
+	endpoint, replacement := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	hanging := newFakeEndpoint(t, hang)
+	members := make([]Member, maxListedEndpoints)
 	for i := range members {
-		members[i] = ep.member(fmt.Sprintf("s-%08x", i), i)
+		members[i] = endpoint.member(fmt.Sprintf("s-%08x", i), i)
 	}
-	members[9] = held.member("s-held", 9)
-	d := newFakeDiscovery(t, members...)
-	env := testConfig(t, d, 3)
+	members[9] = hanging.member("s-hanging", 9)
+	discovery := newFakeDiscovery(t, members...)
+	env := testConfig(t, discovery, 3)
 	rewrite(t, env, func(text string) string {
-		text = strings.Replace(text, `"memory_mb":192,"sockets":1024`, fmt.Sprintf(`"memory_mb":%d,"sockets":%d`, leastMemory, leastSockets), 1)
-		return strings.Replace(text, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, mostListed), 1)
+		text = strings.Replace(text, `"memory_mb":192,"sockets":1024`,
+			fmt.Sprintf(`"memory_mb":%d,"sockets":%d`, smallestMemoryMB, smallestSockets), 1)
+		return strings.Replace(text, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, maxListedEndpoints), 1)
 	})
-	c := startSmallChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	serve := func(at *fakeEndpoint, what string, dest int) {
+	process := startSmallChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	expectDelivery := func(target *fakeEndpoint, prefix string, dest int) {
 		t.Helper()
-		id := fmt.Sprintf("%s-%d", what, dest)
-		if s := cl.put(id, fields("plain", 20000, dest), []byte(what)); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+		id := fmt.Sprintf("%s-%d", prefix, dest)
+		if reply := client.put(id, fields("plain", 20000, dest), []byte(prefix)); reply != "+OK" {
+			t.Fatalf("reply for %s: got %q, want +OK", id, reply)
 		}
-		waitFor(t, "the call of "+id, func() bool { return at.count(id) == 1 })
+		waitFor(t, "the call with "+id, func() bool { return target.count(id) == 1 })
 	}
-	for dest := mostListed - 1; dest > mostListed-1-leastSockets; dest-- {
-		serve(ep, "first", dest)
+	for dest := maxListedEndpoints - 1; dest > maxListedEndpoints-1-smallestSockets; dest-- {
+		expectDelivery(endpoint, "first", dest)
 	}
 
-	d.say(t, fmt.Sprintf(`{"revision":2,"complete":false,"members":[{"id":"s-%08x","cell":3,"phase":"removed"},`+
-		`{"id":"s-new","host_port":%q,"locality":"b","flavor":"k","cell":3,"phase":"up","size":1000}]}`, 3, fresh.addr()))
-	d.say(t, `{"revision":3,"complete":false,"members":[]}`)
-	waitFor(t, "the change to be followed", func() bool {
-		id := fmt.Sprintf("moved-%d", fresh.total()+ep.total())
-		return cl.put(id, fields("plain", 20000, 3), nil) == "+OK" && fresh.total() > 0
+	discovery.say(t, fmt.Sprintf(`{"revision":2,"complete":false,"members":[{"id":"s-%08x","cell":3,"phase":"removed"},`+
+		`{"id":"s-new","host_port":%q,"locality":"b","flavor":"k","cell":3,"phase":"up","size":1000}]}`,
+		3, replacement.addr()))
+	discovery.say(t, `{"revision":3,"complete":false,"members":[]}`)
+	waitFor(t, "a call to the endpoint that the delta adds", func() bool {
+		id := fmt.Sprintf("moved-%d", replacement.totalCalls()+endpoint.totalCalls())
+		return client.put(id, fields("plain", 20000, 3), nil) == "+OK" && replacement.totalCalls() > 0
 	})
 
 	rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_held":100`, `"most_held":90`, 1) })
-	c.signal(t, syscall.SIGHUP)
-	serve(ep, "signalled", 4)
+	process.signal(t, syscall.SIGHUP)
+	expectDelivery(endpoint, "after-reload", 4)
 
-	if s := cl.put("held", fields("keyed", 20000, 9), nil); s != "+OK" {
-		t.Fatal(s)
+	if reply := client.put("in-flight", fields("keyed", 20000, 9), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
-	waitFor(t, "the call that hangs", func() bool { return held.count("held") == 1 })
-	c.checkMemory(t)
-	c.kill()
-	c = startSmallChild(t, env)
-	held.then(nil)
-	waitFor(t, "what was owed before the restart", func() bool { return held.count("held") >= 2 })
-	cl = dialClient(t, env["ROUTER_LISTEN"])
-	serve(ep, "again", 5)
-	c.checkMemory(t)
+	waitFor(t, "the call that hangs", func() bool { return hanging.count("in-flight") == 1 })
+	process.checkPeakMemory(t)
+	process.kill()
+	process = startSmallChild(t, env)
+	hanging.then(nil)
+	waitFor(t, "a second call with the message pending at the restart", func() bool {
+		return hanging.count("in-flight") >= 2
+	})
+	client = dialClient(t, env["ROUTER_LISTEN"])
+	expectDelivery(endpoint, "after-restart", 5)
+	process.checkPeakMemory(t)
 
-	heir := startSmallChild(t, env)
-	c.ended(t)    // it has handed all over
-	heir.ready(t) // the address was free for a moment: the first to answer may have been the old one
-	cl = dialClient(t, env["ROUTER_LISTEN"])
-	serve(ep, "inherited", 6)
-	heir.checkMemory(t)
+	successor := startSmallChild(t, env)
+	process.waitExit(t) // it ends after it has handed over
+	// The predecessor frees the address before the successor listens there, so the PONG that startSmallChild got may
+	// have been the predecessor's.
+	successor.ready(t)
+	client = dialClient(t, env["ROUTER_LISTEN"])
+	expectDelivery(endpoint, "after-upgrade", 6)
+	successor.checkPeakMemory(t)
 }
 
-// total is the number of all calls.
-func (e *fakeEndpoint) total() int {
+// totalCalls returns the number of calls with any message.
+func (e *fakeEndpoint) totalCalls() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.calls)
 }
 
-// startSmallChild starts a relay whose system gives it the least number of
-// descriptors and no more.
+// startSmallChild starts a relay that the operating system limits to smallestSockets descriptors.
 func startSmallChild(t *testing.T, env map[string]string) *child {
 	t.Helper()
-	c := &child{cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, leastSockets), os.Args[0]), env: env}
-	c.launch(t)
-	c.ready(t)
-	return c
+	process := &child{cmd: exec.Command("/bin/sh", "-c",
+		fmt.Sprintf(`ulimit -n %d && exec "$0"`, smallestSockets), os.Args[0]), env: env}
+	process.launch(t)
+	process.ready(t)
+	return process
 }
 
-var peakMemory = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
+var peakMemoryLine = regexp.MustCompile(`VmHWM:\s+(\d+) kB`)
 
-// checkMemory looks at the most that the process has used so far.
-func (c *child) checkMemory(t *testing.T) {
+// checkPeakMemory checks that the process has never used more memory than it is given.
+func (c *child) checkPeakMemory(t *testing.T) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := peakMemory.FindSubmatch(text)
-	if m == nil {
-		t.Fatalf("no peak of memory in %q", bytes.TrimSpace(text))
+	match := peakMemoryLine.FindSubmatch(text)
+	if match == nil {
+		t.Fatalf("no VmHWM line in %q", bytes.TrimSpace(text))
 	}
-	kb, err := strconv.Atoi(string(m[1]))
+	peakKB, err := strconv.Atoi(string(match[1]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d kB at most", kb)
-	if !raceDetector && kb > leastMemory<<10 {
-		t.Errorf("%d kB used, %d MB given", kb, leastMemory)
+	t.Logf("memory peak: %d kB", peakKB)
+	if !raceDetector && peakKB > smallestMemoryMB<<10 {
+		t.Errorf("memory peak: got %d kB, want at most %d MB", peakKB, smallestMemoryMB)
 	}
 }
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -17,144 +17,156 @@
 	"troutusher/internal/resp"
 )
 
-// windowOf gives the keyed class a window for repeats of so many milliseconds.
-func windowOf(t *testing.T, env map[string]string, ms int) {
+// setDedupWindow sets the deduplication window of the keyed class.
+func setDedupWindow(t *testing.T, env map[string]string, windowMS int) {
 	t.Helper()
 	rewrite(t, env, func(text string) string {
 		const old = `"dedup_window_us":20000000`
 		if !strings.Contains(text, old) {
-			t.Fatal("the class has another window")
+			t.Fatal("the configuration has no deduplication window of 20 s")
 		}
-		return strings.Replace(text, old, fmt.Sprintf(`"dedup_window_us":%d000`, ms), 1)
+		return strings.Replace(text, old, fmt.Sprintf(`"dedup_window_us":%d000`, windowMS), 1)
 	})
 }
 
-// A connection that comes up when the window for repeats is over carries nothing that may have run before,
-// and one on which it passes between the first bytes of a call and its last brings that call to no end.
-func TestNothingIsRepeatedPastItsWindow(t *testing.T) {
+// TestNoRepeatAfterDedupWindow: a message that may have run before is not sent after its deduplication window has
+// closed. If the window closes while the connection is dialled, the call is sent without the message. If it closes
+// between the first and the last byte of a call, that call is not completed.
+func TestNoRepeatAfterDedupWindow(t *testing.T) {
 	addr, ids := batchTaker(t)
 	for _, atLastByte := range []bool{false, true} {
 		for _, alone := range []bool{false, true} {
-			h := testPool(t).forHost(addr)
-			by := clock.System().Now().Add(50 * time.Millisecond)
-			pass := func() { time.Sleep(clock.Until(clock.System(), by) + time.Millisecond) }
+			host := testPool(t).forHost(addr)
+			windowEnd := clock.System().Now().Add(50 * time.Millisecond)
+			waitPastWindow := func() { time.Sleep(clock.Until(clock.System(), windowEnd) + time.Millisecond) }
 			dials := 0
-			h.dial = func(_ context.Context, addr string) (net.Conn, error) {
+			host.dial = func(_ context.Context, addr string) (net.Conn, error) {
 				conn, err := net.Dial("tcp", addr)
 				if dials++; err != nil || dials > 1 {
 					return conn, err
 				}
 				if !atLastByte {
-					pass()
+					waitPastWindow()
 					return conn, nil
 				}
-				return &hookedConn{conn.(*net.TCPConn), pass}, nil
+				return &hookedConn{conn.(*net.TCPConn), waitPastWindow}, nil
 			}
 			late := &message{num: 1}
-			parts := []callItem{{message: late, rec: &record{ID: "late"}, timeout: testLimit, repeatUntil: by}}
+			items := []callItem{{message: late, rec: &record{ID: "late"}, timeout: testLimit, repeatUntil: windowEnd}}
 			if !alone {
-				parts = append(parts, callItem{message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit})
+				items = append(items, callItem{message: &message{num: 2}, rec: &record{ID: "a"}, timeout: testLimit})
 			}
-			of, whole := make(chan callResult, 4), make(chan callResult, 4)
-			newTestCall().run(h, parts, nil, func(m *message, o callResult) {
-				if m == late {
-					of <- o
+			lateResults, results := make(chan callResult, 4), make(chan callResult, 4)
+			newTestCall().run(host, items, nil, func(msg *message, result callResult) {
+				if msg == late {
+					lateResults <- result
 				} else {
-					whole <- o
+					results <- result
 				}
 			})
-			o := <-whole
+			result := <-results
 			switch {
-			case alone && (o.outcome != decide.NotSent || len(ids) > 0):
-				t.Errorf("at the last byte %v, alone: %+v", atLastByte, o)
+			case alone && (result.outcome != decide.NotSent || len(ids) > 0):
+				t.Errorf("closed at the last byte %v, the message alone: got %+v, want it not sent", atLastByte, result)
 			case !alone:
-				if got := <-ids; o.outcome != decide.Delivered || !slices.Equal(got, []string{"a"}) {
-					t.Errorf("at the last byte %v: %v, %+v", atLastByte, got, o)
+				if batch := <-ids; result.outcome != decide.Delivered || !slices.Equal(batch, []string{"a"}) {
+					t.Errorf("closed at the last byte %v: got call with %v and %+v, want only a, delivered",
+						atLastByte, batch, result)
 				}
-				if x := <-of; x.outcome != decide.NotSent {
-					t.Errorf("at the last byte %v, the late one: %+v", atLastByte, x)
+				if lateResult := <-lateResults; lateResult.outcome != decide.NotSent {
+					t.Errorf("closed at the last byte %v, the late message: got %+v, want it not sent",
+						atLastByte, lateResult)
 				}
 			}
 		}
 	}
 }
 
-// A keyed message that may have run before a restart is tried again inside its window, or not at all.
-func TestShortWindowThroughARestart(t *testing.T) {
-	for _, over := range []bool{false, true} {
-		ep := newFakeEndpoint(t, hang)
-		disc := newFakeDiscovery(t, ep.member("s-1", 1))
-		env := testConfig(t, disc, 3)
-		window := 20000
-		if over {
-			window = 1000
+// TestDedupWindowAcrossRestart: a keyed message that may have run before a restart is sent again only within its
+// deduplication window.
+func TestDedupWindowAcrossRestart(t *testing.T) {
+	for _, expired := range []bool{false, true} {
+		endpoint := newFakeEndpoint(t, hang)
+		discovery := newFakeDiscovery(t, endpoint.member("s-1", 1))
+		env := testConfig(t, discovery, 3)
+		windowMS := 20000
+		if expired {
+			windowMS = 1000
 		}
-		windowOf(t, env, window)
-		c := startChild(t, env)
-		cl := dialClient(t, env["ROUTER_LISTEN"])
-		if s := cl.put("m", fields("keyed", 20000, 1), nil); s != "+OK" {
-			t.Fatal(s)
+		setDedupWindow(t, env, windowMS)
+		process := startChild(t, env)
+		client := dialClient(t, env["ROUTER_LISTEN"])
+		if reply := client.put("m", fields("keyed", 20000, 1), nil); reply != "+OK" {
+			t.Fatal(reply)
 		}
-		waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
-		c.kill()
-		ep.then(nil)
-		if over {
-			time.Sleep(time.Duration(window) * time.Millisecond)
+		waitFor(t, "the first call", func() bool { return endpoint.count("m") == 1 })
+		process.kill()
+		endpoint.then(nil)
+		if expired {
+			time.Sleep(time.Duration(windowMS) * time.Millisecond)
 		}
 		startChild(t, env)
-		if over {
-			waitFor(t, "its end", func() bool { n, ok := disc.notice("m"); return ok && n.Outcome == noticeGivenUp })
-			if n := ep.count("m"); n != 1 {
-				t.Errorf("called %d times, the second past its window", n)
+		if expired {
+			waitFor(t, "the notice", func() bool {
+				n, ok := discovery.notice("m")
+				return ok && n.Outcome == noticeGivenUp
+			})
+			if n := endpoint.count("m"); n != 1 {
+				t.Errorf("calls with a message past its window: got %d, want 1", n)
 			}
 		} else {
-			waitFor(t, "the second call", func() bool { return ep.count("m") == 2 })
+			waitFor(t, "the second call", func() bool { return endpoint.count("m") == 2 })
 		}
 	}
 }
 
-// While discovery is down and idle clients fill every place, discovery is asked, endpoints are called, the log is
-// written, operators are answered, and the next client that has something to say is served; one that has a
-// request open is not let go for it. The process has no more descriptors than its limit says.
-func TestIdleCrowdWhileDiscoveryIsDown(t *testing.T) {
-	ep, stuck := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
-	disc := newFakeDiscovery(t, ep.member("s-1", 1), stuck.member("s-2", 2))
-	env := testConfig(t, disc, 3)
-	ops, err := net.Listen("tcp", "127.0.0.1:0")
+// TestManyIdleConnectionsWhileDiscoveryIsDown: while discovery does not respond and idle connections use up the
+// connection limit, the relay still queries discovery, calls endpoints, writes its log, answers on the operator port
+// and serves the next client that sends a command. A connection with an incomplete request is not evicted for that
+// client. The process uses no more descriptors than its limit allows.
+func TestManyIdleConnectionsWhileDiscoveryIsDown(t *testing.T) {
+	endpoint, hanging := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
+	discovery := newFakeDiscovery(t, endpoint.member("s-1", 1), hanging.member("s-2", 2))
+	env := testConfig(t, discovery, 3)
+	operatorListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	env["ROUTER_OPS"] = ops.Addr().String()
-	ops.Close()
+	env["ROUTER_OPS"] = operatorListener.Addr().String()
+	operatorListener.Close()
 	rewrite(t, env, func(text string) string {
-		return strings.Replace(text, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, leastSockets), 1)
+		return strings.Replace(text, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, smallestSockets), 1)
 	})
-	c := startSmallChild(t, env)
-	first := dialClient(t, env["ROUTER_LISTEN"])
-	if s := first.put("before", fields("plain", 20000, 1), nil); s != "+OK" {
-		t.Fatal(s)
+	process := startSmallChild(t, env)
+	firstClient := dialClient(t, env["ROUTER_LISTEN"])
+	if reply := firstClient.put("before", fields("plain", 20000, 1), nil); reply != "+OK" {
+		t.Fatal(reply)
 	}
-	disc.set(func(d *fakeDiscovery) { d.silent = true })
-	disc.CloseClientConnections()
-	open := dialClient(t, env["ROUTER_LISTEN"]) // its request is read by halves, all the time
-	text := putText("open", fields("plain", 20000, 1), []byte("body"))
-	io.WriteString(open, text[:len(text)/2])
-	for range 4 * leastSockets {
+	discovery.set(func(d *fakeDiscovery) { d.silent = true })
+	discovery.CloseClientConnections()
+	incomplete := dialClient(t, env["ROUTER_LISTEN"]) // its request is incomplete all that time
+	text := putText("incomplete", fields("plain", 20000, 1), []byte("body"))
+	io.WriteString(incomplete, text[:len(text)/2])
+	for range 4 * smallestSockets {
 		conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 	}
-	waitFor(t, "discovery to be asked", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return disc.unheard >= 2 })
-	io.WriteString(open, text[len(text)/2:])
-	if s := open.line(); s != "+OK" {
-		t.Errorf("the request that was open: %q", s)
+	waitFor(t, "discovery to be queried", func() bool {
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		return discovery.unheard >= 2
+	})
+	io.WriteString(incomplete, text[len(text)/2:])
+	if reply := incomplete.line(); reply != "+OK" {
+		t.Errorf("reply to the request that was incomplete: got %q, want +OK", reply)
 	}
 	for i := range 8 {
-		id := fmt.Sprintf("said%d", i)
-		var s string
-		waitFor(t, "a client that says something", func() bool { // a new connection may be shut unread
+		id := fmt.Sprintf("new%d", i)
+		var reply string
+		waitFor(t, "a reply to a new client", func() bool { // a new connection may be closed before it is read
 			conn, err := net.Dial("tcp", env["ROUTER_LISTEN"])
 			if err != nil {
 				return false
@@ -162,19 +174,19 @@
 			defer conn.Close()
 			conn.SetDeadline(time.Now().Add(10 * time.Second))
 			io.WriteString(conn, putText(id, fields("plain", 20000, 1+i%2), nil))
-			var b [16]byte
-			n, _ := conn.Read(b[:])
-			s = string(b[:n])
+			var buffer [16]byte
+			n, _ := conn.Read(buffer[:])
+			reply = string(buffer[:n])
 			return n > 0
 		})
-		if s != resp.OK {
-			t.Errorf("%s: %q", id, s)
+		if reply != resp.OK {
+			t.Errorf("reply for %s: got %q, want +OK", id, reply)
 		}
 		if i%2 == 0 {
-			waitFor(t, "its call", func() bool { return ep.count(id) == 1 })
+			waitFor(t, "the call with the message", func() bool { return endpoint.count(id) == 1 })
 		}
 	}
-	waitFor(t, "the operators' answer", func() bool {
+	waitFor(t, "READY to be acknowledged", func() bool {
 		conn, err := net.Dial("tcp", env["ROUTER_OPS"])
 		if err != nil {
 			return false
@@ -182,145 +194,157 @@
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		io.WriteString(conn, "READY\n")
-		var b [64]byte
-		n, _ := conn.Read(b[:])
-		return strings.HasPrefix(string(b[:n]), "ACK")
+		var buffer [64]byte
+		n, _ := conn.Read(buffer[:])
+		return strings.HasPrefix(string(buffer[:n]), "ACK")
 	})
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d descriptors of %d", len(fds), leastSockets)
-	disc.set(func(d *fakeDiscovery) { d.silent = false })
-	disc.say(t, `{"revision":2,"members":[{"id":"s-1","cell":1,"phase":"draining","host_port":"127.0.0.1:1"}]}`)
+	t.Logf("%d of %d descriptors in use", len(descriptors), smallestSockets)
+	discovery.set(func(d *fakeDiscovery) { d.silent = false })
+	discovery.say(t, `{"revision":2,"members":[{"id":"s-1","cell":1,"phase":"draining","host_port":"127.0.0.1:1"}]}`)
 }
 
-// Processes that are started all at once with discovery down, a full log and 1,024 endpoints on the list they
-// had are ready within the 10 s that the platform gives nine in ten of them.
-func TestReadyAfterARestart(t *testing.T) {
-	const processes = 6
-	disc := newFakeDiscovery(t)
-	disc.set(func(d *fakeDiscovery) { d.silent = true })
+// TestReadyInTimeAfterRestart: processes that start at the same time, while discovery does not respond, each with a
+// full log and a known list of 1,024 endpoints, are all ready within the 10 s that the platform allows nine in ten of
+// them.
+func TestReadyInTimeAfterRestart(t *testing.T) {
+	const processCount = 6
+	discovery := newFakeDiscovery(t)
+	discovery.set(func(d *fakeDiscovery) { d.silent = true })
 	hanging := newFakeEndpoint(t, hang)
 	var members []string
-	for i := range mostListed {
-		members = append(members, fmt.Sprintf(`{"id":"s-%08x","host_port":%q,"locality":"a","flavor":"k","cell":%d,"phase":"up","size":100}`, i, hanging.addr(), i))
+	for i := range maxListedEndpoints {
+		members = append(members, fmt.Sprintf(
+			`{"id":"s-%08x","host_port":%q,"locality":"a","flavor":"k","cell":%d,"phase":"up","size":100}`,
+			i, hanging.addr(), i))
 	}
 	known := `"known":{"revision":1,"complete":true,"members":[` + strings.Join(members, ",") + `]},"settings"`
 	var envs []map[string]string
-	owed := 0
-	for range processes {
-		env := testConfig(t, disc, 3)
+	pendingCount := 0
+	for range processCount {
+		env := testConfig(t, discovery, 3)
 		rewrite(t, env, func(text string) string { return strings.Replace(text, `"settings"`, known, 1) })
 		cfg := parseTestConfig(t)
-		w, _ := openTestWAL(t, env["ROUTER_STATE"], 3<<20)
-		owed = 0
-		for ; ; owed++ {
-			rec := &record{Kind: recordAccepted, ID: fmt.Sprintf("m%d", owed), Class: "plain", Tenant: "acme", Dest: owed % mostListed,
-				Deadline: clock.System().Now().Add(time.Minute), Rules: &cfg.Policy.Classes[0], MaxAttempts: 8, body: make([]byte, 200)}
-			if err := w.append(rec, false); err != nil {
+		log, _ := openTestWAL(t, env["ROUTER_STATE"], 3<<20)
+		pendingCount = 0
+		for ; ; pendingCount++ {
+			rec := &record{Kind: recordAccepted, ID: fmt.Sprintf("m%d", pendingCount), Class: "plain", Tenant: "acme",
+				Dest:     pendingCount % maxListedEndpoints,
+				Deadline: clock.System().Now().Add(time.Minute), Rules: &cfg.Policy.Classes[0], MaxAttempts: 8,
+				body: make([]byte, 200)}
+			if err := log.append(rec, false); err != nil {
 				break
 			}
 		}
-		w.start()
-		w.halt()
-		w.slots.release()
+		log.start()
+		log.halt()
+		log.slots.release()
 		envs = append(envs, env)
 	}
-	if owed < 1000 {
-		t.Fatalf("a log with room for %d messages", owed)
+	if pendingCount < 1000 {
+		t.Fatalf("messages that fit in the log: got %d, want at least 1000", pendingCount)
 	}
-	began := time.Now()
-	var all []*child
+	startedAt := time.Now()
+	var processes []*child
 	for _, env := range envs {
-		all = append(all, launchChild(t, env, nil))
+		processes = append(processes, launchChild(t, env, nil))
 	}
-	for _, c := range all {
-		c.ready(t)
+	for _, process := range processes {
+		process.ready(t)
 	}
-	took := time.Since(began)
-	t.Logf("%d processes with %d messages each: the last is ready after %v", processes, owed, took)
-	if took > 10*time.Second {
-		t.Errorf("the last of %d processes is ready after %v", processes, took)
+	elapsed := time.Since(startedAt)
+	t.Logf("%d processes with %d messages each: the last is ready after %v", processCount, pendingCount, elapsed)
+	if elapsed > 10*time.Second {
+		t.Errorf("time until the last of %d processes is ready: got %v, want at most 10 s", processCount, elapsed)
 	}
 }
 
-// What has ended and must not take effect twice is known through restarts: who comes with its id again hears what
-// became of it, and nothing is called. What may run any number of times is taken on again.
-func TestEndedIsKnownAfterARestart(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	put := func(id, class string) {
+// TestEndedMessagesAreKnownAfterRestart: the id of an ended message that must not take effect twice is kept across
+// restarts. A client that hands it in again gets the reply for how it ended, and no endpoint is called. A message that
+// is safe to repeat is accepted and delivered again.
+func TestEndedMessagesAreKnownAfterRestart(t *testing.T) {
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
+	process := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	mustPut := func(id, class string) {
 		t.Helper()
-		if s := cl.put(id, fields(class, 20000, 1), nil); s != "+OK" {
-			t.Fatalf("%s: %s", id, s)
+		if reply := client.put(id, fields(class, 20000, 1), nil); reply != "+OK" {
+			t.Fatalf("reply for %s: got %q, want +OK", id, reply)
 		}
 	}
 	for _, class := range []string{"once", "keyed", "plain"} {
-		put(class, class)
-		waitFor(t, "its end in the log", func() bool {
-			text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
-			return strings.Contains(string(text), fmt.Sprintf(`"kind":"end","id":%q`, class))
+		mustPut(class, class)
+		waitFor(t, "the end record in the log", func() bool {
+			logText, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walFileName))
+			return strings.Contains(string(logText), fmt.Sprintf(`"kind":"end","id":%q`, class))
 		})
 	}
-	for n := range 3 { // the second start reads a compacted log
-		c.kill()
-		c = startChild(t, env)
-		cl = dialClient(t, env["ROUTER_LISTEN"])
+	for restart := range 3 { // the second start reads a compacted log
+		process.kill()
+		process = startChild(t, env)
+		client = dialClient(t, env["ROUTER_LISTEN"])
 		for _, class := range []string{"once", "keyed", "plain"} {
-			put(class, class)
+			mustPut(class, class)
 		}
-		waitFor(t, "what may run again", func() bool { return ep.count("plain") == n+2 })
-		put(fmt.Sprint("marker", n), "once")
-		waitFor(t, "what is new", func() bool { return ep.count(fmt.Sprint("marker", n)) == 1 })
-		if ep.count("once") != 1 || ep.count("keyed") != 1 {
-			t.Fatalf("after %d starts: unsafe one called %d times, keyed one %d", n+1, ep.count("once"), ep.count("keyed"))
+		waitFor(t, "a further call with the message that is safe to repeat", func() bool {
+			return endpoint.count("plain") == restart+2
+		})
+		mustPut(fmt.Sprint("marker", restart), "once")
+		waitFor(t, "the call with the new message", func() bool {
+			return endpoint.count(fmt.Sprint("marker", restart)) == 1
+		})
+		if endpoint.count("once") != 1 || endpoint.count("keyed") != 1 {
+			t.Fatalf("after %d restarts: got %d calls with the unsafe message and %d with the keyed one, want 1 each",
+				restart+1, endpoint.count("once"), endpoint.count("keyed"))
 		}
 	}
 }
 
-// The ids of what has ended keep to their part of the disk, the newest are kept, each until its time is long over.
-func TestEndedIDsAreBounded(t *testing.T) {
-	const limit = 512 << 10
+// TestEndedIDLimit: the ids of ended messages take at most their share of the disk limit. The newest are kept, each
+// until some time after its deadline.
+func TestEndedIDLimit(t *testing.T) {
+	const limitBytes = 512 << 10
 	dir := t.TempDir()
-	w, _ := openTestWAL(t, dir, limit)
+	log, _ := openTestWAL(t, dir, limitBytes)
 	cfg := parseTestConfig(t)
-	take := func(id string, class int, deadline clock.Instant) {
+	appendAccepted := func(id string, class int, deadline clock.Instant) {
 		t.Helper()
-		mustAppend(t, w, &record{Kind: recordAccepted, ID: id, Deadline: deadline, Rules: &cfg.Policy.Classes[class]})
+		mustAppend(t, log, &record{Kind: recordAccepted, ID: id, Deadline: deadline, Rules: &cfg.Policy.Classes[class]})
 	}
-	once, soon := cfg.classes["once"], clock.System().Now().Add(time.Minute)
-	take("long-ago", once, clock.System().Now().Add(-time.Hour))
-	take("safe", cfg.classes["plain"], soon)
-	take("withdrawn", once, soon)
-	mustAppend(t, w, &record{Kind: recordEnd, ID: "long-ago", MayHaveRun: true}, &record{Kind: recordEnd, ID: "safe", MayHaveRun: true},
-		&record{Kind: recordEnd, ID: "withdrawn"})
-	if n := len(w.endedRecords()); n != 0 {
-		t.Fatalf("%d ids are kept of what may run again, never ran, or is long over", n)
+	onceClass, inOneMinute := cfg.classes["once"], clock.System().Now().Add(time.Minute)
+	appendAccepted("long-ago", onceClass, clock.System().Now().Add(-time.Hour))
+	appendAccepted("safe", cfg.classes["plain"], inOneMinute)
+	appendAccepted("withdrawn", onceClass, inOneMinute)
+	mustAppend(t, log, &record{Kind: recordEnd, ID: "long-ago", MayHaveRun: true},
+		&record{Kind: recordEnd, ID: "safe", MayHaveRun: true}, &record{Kind: recordEnd, ID: "withdrawn"})
+	if n := len(log.endedRecords()); n != 0 {
+		t.Fatalf("ids kept of messages that are safe to repeat, never ran, or expired long ago: got %d, want 0", n)
 	}
-	const all = 1000
-	for i := range all {
+	const total = 1000
+	for i := range total {
 		id := fmt.Sprintf("m%04d", i)
-		take(id, once, soon)
+		appendAccepted(id, onceClass, inOneMinute)
 		if i%2 == 1 {
-			mustAppend(t, w, &record{Kind: recordEnding, ID: id, Notice: noticeGivenUp})
+			mustAppend(t, log, &record{Kind: recordEnding, ID: id, Notice: noticeGivenUp})
 		}
-		mustAppend(t, w, &record{Kind: recordEnd, ID: id, MayHaveRun: i%2 == 0})
+		mustAppend(t, log, &record{Kind: recordEnd, ID: id, MayHaveRun: i%2 == 0})
 	}
-	w.start()
-	w.halt()
-	w.slots.release()
-	again, owed := openTestWAL(t, dir, limit)
-	ended := again.endedRecords()
-	if want := limit / endedDiskDivisor / endedRecordBytes; len(ended) != want || len(owed) != 0 {
-		t.Fatalf("%d ids kept, want %d; %d owed", len(ended), want, len(owed))
+	log.start()
+	log.halt()
+	log.slots.release()
+	recovered, pending := openTestWAL(t, dir, limitBytes)
+	ended := recovered.endedRecords()
+	if want := limitBytes / endedDiskDivisor / endedRecordBytes; len(ended) != want || len(pending) != 0 {
+		t.Fatalf("got %d ids, want %d; got %d pending messages, want 0", len(ended), want, len(pending))
 	}
 	for i, rec := range ended {
-		n := all - len(ended) + i
+		n := total - len(ended) + i
 		if rec.ID != fmt.Sprintf("m%04d", n) || (rec.Notice == noticeGivenUp) != (n%2 == 1) {
-			t.Fatalf("%d of %d: %+v", i, len(ended), rec)
+			t.Fatalf("ended record %d of %d: got %+v, want the newest ids in order", i, len(ended), rec)
 		}
 	}
 }
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -303,7 +303,7 @@
 
 // A message whose deduplication window is not known to be open is not sent again.
 func TestUnknownDedupWindowIsClosed(t *testing.T) {
-	r := testRelay(t)
+	r := newTestRelay(t)
 	rules := r.cfg.Policy.Classes[r.cfg.classes["keyed"]]
 	for unknown, want := range map[bool]bool{false: true, true: false} {
 		now := r.clock.Now()
@@ -326,7 +326,7 @@
 // A predecessor of the earlier release sends only its policy time, without a clock reading. The new
 // process continues that policy time, and reads instants in records from the predecessor as wall-clock times.
 func TestHelloOfEarlierRelease(t *testing.T) {
-	r := testRelay(t)
+	r := newTestRelay(t)
 	const predecessorNow = decide.Time(3600e6 + 77e6)
 	r.adoptPolicyClock(&handoverHello{PolicyNow: predecessorNow})
 	if r.now() != predecessorNow || r.policyTime(r.instant(predecessorNow+5)) != predecessorNow+5 {
