--- a/internal/relay/fuzz_config_test.go
+++ b/internal/relay/fuzz_config_test.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// FuzzReloadConfig: a configuration that may replace the running one has a value for every key that has one there.
+// FuzzReloadConfig: a configuration that may replace the running one has a value for every key that has one there. Any
+// other is refused with an error that names the missing key.
 func FuzzReloadConfig(f *testing.F) {
 	running, err := loadConfig(strings.NewReader(fuzzConfig), emptyEnvironment, true)
 	if err != nil {
