--- a/internal/relay/clock_step_relay_test.go
+++ b/internal/relay/clock_step_relay_test.go
@@ -77,9 +77,9 @@
 	unserved := Member{ID: "unserved", HostPort: "127.0.0.1:1", Locality: "a", Flavor: "k", Cell: unservedDest,
 		Phase: phaseDraining}
 	discovery := newFakeDiscovery(t, append(members, unserved)...)
-	reserved := newSite(t, discovery) // keeps the port while no relay runs
+	reserved := newReplaceableRelay(t, discovery) // keeps the port while no relay runs
 	env := reserved.env
-	rewrite(t, env, replace(`"classes":[`, `"classes":[`+shortWindowClass+","+restartWindowClass+","))
+	rewrite(t, env, replaceFirst(`"classes":[`, `"classes":[`+shortWindowClass+","+restartWindowClass+","))
 	return &steppedRelay{t: t, discovery: discovery, env: env, socket: reserved.socket,
 		clock: newTestWallClock(t, env)}
 }
--- a/internal/relay/clock_step_test.go
+++ b/internal/relay/clock_step_test.go
@@ -170,8 +170,8 @@
 // stepWaitingForSlot steps the clock while messages wait because calls in flight take all slots.
 func stepWaitingForSlot(t *testing.T, step time.Duration) {
 	const slots = 16 // calls_out of testSettings
-	served, gate := newFakeEndpoint(t, nil), newGate()
-	busy := newFakeEndpoint(t, gate.answer)
+	served, gate := newFakeEndpoint(t, nil), newResponseGate()
+	busy := newFakeEndpoint(t, gate.respond)
 	members := []Member{served.member("s-1", servedDest)}
 	for i := range slots {
 		members = append(members, busy.member(fmt.Sprintf("busy-%d", i), firstBusyDest+i))
@@ -182,7 +182,7 @@
 	for i := range slots {
 		inFlight = append(inFlight, r.put(fmt.Sprintf("in-flight-%d", i), "once", longDeadline, firstBusyDest+i))
 	}
-	waitFor(t, "calls in all slots", func() bool { return gate.entered.Load() == slots })
+	waitFor(t, "calls in all slots", func() bool { return gate.arrived.Load() == slots })
 	short := r.put("short", "plain", shortDeadline, servedDest)
 	long := r.put("long", "plain", longDeadline, servedDest)
 	r.clock.step(t, step)
@@ -214,8 +214,8 @@
 
 // stepWaitingForResponse steps the clock while calls wait for their responses.
 func stepWaitingForResponse(t *testing.T, step time.Duration) {
-	gate := newGate()
-	slow, silent := newFakeEndpoint(t, gate.answer), newFakeEndpoint(t, hang)
+	gate := newResponseGate()
+	slow, silent := newFakeEndpoint(t, gate.respond), newFakeEndpoint(t, hang)
 	r := newSteppedRelay(t, slow.member("s-1", servedDest), silent.member("s-2", otherDest))
 	r.start()
 	inFlight := r.put("in-flight", "once", longDeadline, servedDest)
@@ -248,12 +248,12 @@
 // stepKeyedRetry steps the clock during the first attempt, after which the message may have run. It is sent again
 // within its deduplication window, and not after it. The relay is not restarted.
 func stepKeyedRetry(t *testing.T, step time.Duration) {
-	gate := newGate()
+	gate := newResponseGate()
 	failFirst := func(w http.ResponseWriter, req *http.Request, n int) {
 		if n > 1 {
 			return
 		}
-		gate.answer(w, req, n)
+		gate.respond(w, req, n)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
 	inWindow, pastWindow := newFakeEndpoint(t, failFirst), newFakeEndpoint(t, failFirst)
@@ -261,7 +261,7 @@
 	r.start()
 	retried := r.put("retried", "keyed", longDeadline, servedDest)
 	expired := r.put("expired", "brief", restartDeadline, otherDest)
-	waitFor(t, "the first calls", func() bool { return gate.entered.Load() == 2 })
+	waitFor(t, "the first calls", func() bool { return gate.arrived.Load() == 2 })
 	calledAt := time.Now()
 	r.clock.step(t, step)
 	time.Sleep(time.Until(calledAt.Add(shortWindow + 200*time.Millisecond)))
@@ -277,9 +277,9 @@
 // stepKeyedRetryConnecting steps the clock while the second attempt waits for its connection. It is established
 // within the deduplication window of one message and after that of the other.
 func stepKeyedRetryConnecting(t *testing.T, step time.Duration) {
-	gate := newGate()
+	gate := newResponseGate()
 	failing := newFakeEndpoint(t, func(w http.ResponseWriter, req *http.Request, n int) {
-		gate.answer(w, req, n)
+		gate.respond(w, req, n)
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	marker, moved := newFakeEndpoint(t, nil), []*fullBacklog{newFullBacklog(t), newFullBacklog(t)}
@@ -287,7 +287,7 @@
 	r.start()
 	retried := r.put("retried", "keyed", longDeadline, servedDest)
 	expired := r.put("expired", "brief", restartDeadline, otherDest)
-	waitFor(t, "the first calls", func() bool { return gate.entered.Load() == 2 })
+	waitFor(t, "the first calls", func() bool { return gate.arrived.Load() == 2 })
 	calledAt := time.Now()
 	for i, dest := range []int{servedDest, otherDest} { // the endpoints move to addresses that establish no connection
 		member := failing.member(fmt.Sprintf("s-%d", i), dest)
@@ -447,13 +447,13 @@
 
 // handoverTrial is not valid if the predecessor did not reply within helloTimeout, so that there was no hand-over.
 func handoverTrial(t *testing.T, step time.Duration) (valid bool) {
-	gate := newGate()
-	served, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, gate.answer)
+	gate := newResponseGate()
+	served, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, gate.respond)
 	r := newSteppedRelay(t, served.member("s-1", servedDest), slow.member("s-2", otherDest))
 	r.startWithOperatorPort()
 	r.connect()
 	inFlight := r.put("in-flight", "once", longDeadline, otherDest)
-	waitFor(t, "the call", func() bool { return gate.entered.Load() == 1 })
+	waitFor(t, "the call", func() bool { return gate.arrived.Load() == 1 })
 	beforeStep := r.put("before-step", "plain", restartDeadline, unservedDest)
 	halfWritten, command := r.client, putCommand("half", messageFields("plain", shortDeadline, unservedDest), nil)
 	io.WriteString(halfWritten, command[:len(command)/2])
@@ -476,7 +476,7 @@
 	r.expectDelivered(r.put("fresh", "once", longDeadline, servedDest), served, 1)
 	close(gate.open)
 	r.expectDelivered(inFlight, slow, 1)
-	predecessor.ended(t)
+	predecessor.waitExit(t)
 	r.expectNotice(afterStep, nil)
 	r.expectNotice(completed, nil)
 	r.expectNotice(beforeStep, nil)
@@ -673,7 +673,7 @@
 // for a new connection, and one that has just received bytes is not. A step of the wall clock changes neither.
 func stepClientEviction(t *testing.T, step time.Duration) {
 	r := newSteppedRelay(t)
-	rewrite(t, r.env, replace(`"sockets":1024`, `"sockets":64`))
+	rewrite(t, r.env, replaceFirst(`"sockets":1024`, `"sockets":64`))
 	r.start()
 	r.client.Close()
 	for _, stalled := range []bool{false, true} {
--- a/internal/relay/follow_test.go
+++ b/internal/relay/follow_test.go
@@ -17,11 +17,11 @@
 func TestMessageCanBeFollowed(t *testing.T) {
 	logOutput := func(level slog.Level) string {
 		var out bytes.Buffer
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level}))
 		r.ctx = t.Context()
 		r.wal = &wal{queue: newMailbox[walOp]()}
-		r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1",
+		r.receiveList(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1",
 			Flavor: "k", Locality: "a", Cell: 7, Phase: phaseUp}}})
 		for _, outcome := range []decide.Outcome{decide.Delivered, decide.Errored} {
 			request := &putRequest{record: &record{ID: map[decide.Outcome]string{decide.Delivered: "good",
@@ -30,7 +30,7 @@
 			message := r.newMessage(request.record)
 			r.unanswered[request] = message
 			r.replyWritten(request, true)
-			r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: message.num, Endpoint: r.named("s-1").num,
+			r.performAction(r.now(), &decide.Action{Kind: decide.ActSend, Message: message.num, Endpoint: r.endpointByID("s-1").num,
 				TimeoutAt: r.now() + 1e9})
 			call := r.formingCalls[0]
 			r.dispatchCalls()
--- a/internal/relay/outages_test.go
+++ b/internal/relay/outages_test.go
@@ -45,9 +45,9 @@
 		t.Errorf("outage began %v ago, want between 0 and one hour", age)
 	}
 	for _, listed := range []bool{true, false} {
-		r := testRelay(t)
+		r := newTestRelay(t)
 		r.wal = w
-		applyList := func() { r.told(t, &List{Revision: 1, Complete: true, Members: []Member{unreachable}}) }
+		applyList := func() { r.receiveList(t, &List{Revision: 1, Complete: true, Members: []Member{unreachable}}) }
 		if listed {
 			applyList()
 		}
@@ -56,13 +56,13 @@
 			applyList()
 		}
 		r.step()
-		num := r.named("s-1").num
+		num := r.endpointByID("s-1").num
 		outage, known := r.policy.Outage(num)
 		if !known || decide.Time(r.instant(outage.FirstFailureAt)) != found[0].Outage.FirstFailureAt || len(r.unlistedOutages) != 0 {
 			t.Errorf("listed at the start %v: got known %v, outage %+v, want %+v; %d not restored",
 				listed, known, outage, found[0].Outage, len(r.unlistedOutages))
 		}
-		r.told(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
+		r.receiveList(t, &List{Revision: 2, Members: []Member{{ID: "s-1", Phase: phaseRemoved}}})
 		r.step() // the policy drops the outage of a removed endpoint
 		ops := w.queue.takeAll(nil)
 		if len(ops) == 0 || ops[len(ops)-1].rec.Kind != recordOutage || ops[len(ops)-1].rec.Outage != nil {
