--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -11,8 +11,8 @@
 )
 
 // Number identifies an endpoint of a directory. It holds the endpoint's slot plus one and, above it, the generation of
-// the slot, which counts its reuses in 16 bits. It is never 0, and later endpoints in the same slot have other
-// numbers.
+// the slot, which counts its reuses in 16 bits. It is never 0. Later endpoints in the same slot have other numbers
+// until the generation wraps after 65,536 reuses.
 type Number uint64
 
 // Endpoint is the description of an endpoint in a directory.
--- a/internal/membership/read.go
+++ b/internal/membership/read.go
@@ -9,7 +9,8 @@
 	"github.com/go-faster/jx"
 )
 
-const readBufferSize = 64 << 10 // bytes read at once; a list of that many bytes reports progress each time
+// readBufferSize is the number of bytes that are read at once, and after which a long list reports progress again.
+const readBufferSize = 64 << 10
 
 // Header holds the fields of a list besides its members. HasRevision is set once the revision has been read.
 type Header struct {
@@ -104,9 +105,9 @@
 		case "cell":
 			e.Dest, err = d.Int64()
 		case "phase":
-			var word []byte
-			if word, err = d.StrBytes(); err == nil {
-				e.Phase = parsePhase(word)
+			var phaseName []byte
+			if phaseName, err = d.StrBytes(); err == nil {
+				e.Phase = parsePhase(phaseName)
 			}
 		case "size":
 			e.Rate, err = d.Float64()
--- a/internal/membership/stage.go
+++ b/internal/membership/stage.go
@@ -31,8 +31,8 @@
 	return &Stage{directory: d}, nil
 }
 
-// Entry stages an entry. If applyDrains is set, a drain takes effect at once; drains then reports whether there is
-// one, for TakeDrained.
+// Entry stages an entry. If applyDrains is set, a drain takes effect at once; drains reports whether one did, which
+// TakeDrained then returns.
 func (s *Stage) Entry(e *Entry, applyDrains bool) (drains bool, err error) {
 	d := s.directory
 	d.mu.Lock()
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -48,7 +48,7 @@
 	classes    map[string]int
 	tenants    map[string]int
 	loadFields []string       // names of the fields of a load report
-	rawConfig  map[string]any // the file without its endpoint list, which may be absent
+	rawConfig  map[string]any // the file without its endpoint list, which later files need not have
 	folder     logFolder      // replaces the operating system's in tests; nil otherwise
 
 	// commandTimeout is the time that a client may take for each command after its first, set in tests.
@@ -218,7 +218,8 @@
 		field    *string
 	}{{"ROUTER_NAME", "name", &cfg.Name}, {"ROUTER_LISTEN", "listen", &cfg.ListenAddr},
 		{"ROUTER_DISCOVERY", "discovery", &cfg.DiscoveryAddr}, {"ROUTER_STATE", "state", &cfg.StateFolder}} {
-		if value := getenv(setting.env); value != "" && (*setting.field == "" || !reload || setting.key != "discovery") {
+		if value := getenv(setting.env); value != "" &&
+			(*setting.field == "" || !reload || setting.key != "discovery") {
 			*setting.field = value
 		}
 		if *setting.field == "" {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -107,10 +107,10 @@
 		round: min(max(fleetTime, minDiscoveryRound), maxDiscoveryRound), beginList: begin}
 }
 
-// backoffDelay is the delay before the next request after a number of consecutive refusals; random is drawn from [0,
-// 1) and sets the jitter. The first delay lasts at most a round, in which discovery works off the requests of the
-// other relays, which failed at the same time. The delay doubles up to one and a half rounds, but never exceeds
-// maxBackoffCeiling before jitter, however large the fleet: discovery may recover right after a refusal, and the
+// backoffDelay is the delay before the next request after a number of consecutive refusals; random is drawn from
+// [0, 1) and sets the jitter. Before jitter, the first delay lasts at most a round, in which discovery works off the
+// requests of the other relays, which failed at the same time. The delay doubles up to one and a half rounds, but
+// never exceeds maxBackoffCeiling, however large the fleet: discovery may recover right after a refusal, and the
 // relay is held to know its state 6 s later.
 func (d *discovery) backoffDelay(refusals int, random float64) time.Duration {
 	ceiling := min(max(d.round*3/2, minBackoffCeiling), maxBackoffCeiling)
@@ -353,9 +353,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("discovery: list: %w", err)
 	}
-	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
-	defer silence.Stop()
-	header, err := membership.Read(membership.WithProgress(request.resp.Body, func() { silence.Reset(d.silenceTimeout) }),
+	silenceTimer := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
+	defer silenceTimer.Stop()
+	header, err := membership.Read(membership.WithProgress(request.resp.Body,
+		func() { silenceTimer.Reset(d.silenceTimeout) }),
 		false, forwardEntries(receiver, revision))
 	if cause := context.Cause(request.ctx); err != nil && cause != nil {
 		err = cause
@@ -391,10 +392,10 @@
 	}
 	defer request.close()
 	d.watchOpenedAt = d.clock.Now()
-	silence := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
-	defer silence.Stop()
-	lines := membership.NewWatchReader(request.resp.Body, func() {
-		silence.Reset(d.silenceTimeout)
+	silenceTimer := time.AfterFunc(d.silenceTimeout, func() { request.cancel(errSilence) })
+	defer silenceTimer.Stop()
+	watchReader := membership.NewWatchReader(request.resp.Body, func() {
+		silenceTimer.Reset(d.silenceTimeout)
 		d.knownBy = d.clock.Now().Add(knownAfterSilence)
 		if !received {
 			d.log.Info("discovery: watch established", "revision", from)
@@ -404,22 +405,22 @@
 	for revision = from; err == nil; {
 		first := !received
 		var isList bool
-		if isList, err = lines.Next(); err != nil {
+		if isList, err = watchReader.Next(); err != nil {
 			break
 		}
-		if !isList && !first { // only the relay's start waits for a heartbeat
+		if !isList && !first { // a heartbeat brings no changes, and only the relay's start waits for the first one
 			continue
 		}
 		receiver, err := d.beginList(request.ctx)
 		if err != nil {
 			return revision, true, received, fmt.Errorf("discovery: %w", err)
 		}
-		silence.Reset(d.silenceTimeout) // beginList may have waited for the list before this one
+		silenceTimer.Reset(d.silenceTimeout) // beginList may have waited for the list before this one
 		if !isList {
 			receiver.End(revision, false)
 			continue
 		}
-		header, err := membership.Read(lines, false, forwardEntries(receiver, revision))
+		header, err := membership.Read(watchReader, false, forwardEntries(receiver, revision))
 		if err == nil && header.Revision < revision {
 			err = errStaleList
 		}
@@ -429,7 +430,7 @@
 			continue
 		}
 		receiver.Abort()
-		if torn := lines.StreamErr(); torn == nil {
+		if streamErr := watchReader.StreamErr(); streamErr == nil {
 			return revision, false, received, fmt.Errorf("discovery: %w", err)
 		}
 	}
@@ -600,10 +601,12 @@
 	return due, next
 }
 
+// backoff is the delay after a number of earlier failures: first, doubled for each of them, up to maxNoticeDelay.
 func backoff(first time.Duration, failures int) time.Duration {
 	return min(first<<min(failures, 16), maxNoticeDelay)
 }
 
+// startTry sends a batch in a goroutine of its own, which puts the result into finished.
 func (n *notices) startTry(ctx context.Context, batch []*pendingNotice, now clock.Instant) {
 	ctx, cancel := context.WithCancel(ctx)
 	try := &noticeTry{batch: batch, started: now, cancel: cancel}
@@ -645,6 +648,7 @@
 	}
 }
 
+// confirm ends a notice that was confirmed, or that the agent rejected as malformed with the error err.
 func (n *notices) confirm(pending *pendingNotice, err error, now clock.Instant) {
 	pending.confirmed = true
 	n.unconfirmed.Add(-1)
@@ -659,6 +663,7 @@
 	n.onConfirmed(pending.Message)
 }
 
+// post sends a batch and returns the status of the response, or 0 if there was none. Any status but 204 is an error.
 func (n *notices) post(ctx context.Context, batch []*pendingNotice) (int, error) {
 	var body bytes.Buffer
 	encoder := json.NewEncoder(&body) // one JSON object per line
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -138,7 +138,8 @@
 }
 
 // commitLastByte is called right before the last byte of a request with these items is written. It reports false if
-// one of the items was removed since, or may no longer be repeated: that byte must not be written then.
+// one of the items was removed after the request was encoded, or may no longer be repeated: that byte must not be
+// written then.
 func (c *call) commitLastByte(items []callItem, now clock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,7 +324,7 @@
 // send gets a connection and writes the request to it, with those of the items that are still to be sent. If it
 // returns an error, the last byte of the request was not written. A connection that fails before its last byte is
 // replaced: the endpoint cannot have run anything of the call by then.
-func (c *call) send(ctx context.Context, host *hostPool, all []callItem, started clock.Instant) (
+func (c *call) send(ctx context.Context, host *hostPool, allItems []callItem, started clock.Instant) (
 	*poolConn, *http.Request, []callItem, decide.Outcome, error) {
 	fail := func(outcome decide.Outcome, err error) (*poolConn, *http.Request, []callItem, decide.Outcome, error) {
 		return nil, nil, nil, outcome, err
@@ -345,7 +346,7 @@
 			return fail(decide.NotSent, errCancelledUnsent)
 		}
 		clk := host.pool.clock
-		items := c.remainingItems(all, clk.Now())
+		items := c.remainingItems(allItems, clk.Now())
 		if len(items) == 0 {
 			conn.put()
 			return fail(decide.NotSent, errMessageRemoved)
@@ -565,15 +566,16 @@
 		return err
 	}
 	r.outcome, r.retryAfter, r.itemResults = decide.Errored, retryAfter, make(map[string]itemResult, len(states))
-	for _, x := range states {
-		result, ok := batchStates[x.State]
-		if !ok || !slices.ContainsFunc(items, func(item callItem) bool { return item.rec.ID == x.ID }) {
-			return fmt.Errorf("unknown state or message in the response: state %.40q, message %.40q", x.State, x.ID)
+	for _, itemState := range states {
+		result, ok := batchStates[itemState.State]
+		if !ok || !slices.ContainsFunc(items, func(item callItem) bool { return item.rec.ID == itemState.ID }) {
+			return fmt.Errorf("unknown state or message in the response: state %.40q, message %.40q", itemState.State,
+				itemState.ID)
 		}
-		if _, duplicate := r.itemResults[x.ID]; duplicate {
-			return fmt.Errorf("duplicate message %.40q in the response", x.ID)
+		if _, duplicate := r.itemResults[itemState.ID]; duplicate {
+			return fmt.Errorf("duplicate message %.40q in the response", itemState.ID)
 		}
-		r.itemResults[x.ID] = result
+		r.itemResults[itemState.ID] = result
 	}
 	return nil
 }
--- a/internal/relay/logs.go
+++ b/internal/relay/logs.go
@@ -83,8 +83,9 @@
 	clear(l.locks)
 }
 
-// fileName is the name of a log of a slot. A slot normally has one log, with index 0. Index 1 and up
-// are for a log that is taken over, 2 and up for the own log after a hand-over that was cancelled.
+// fileName is the name of a log of a slot. A slot normally has one log, with index 0. A log that is
+// taken over gets the first unused index from 1, the own log after a cancelled hand-over the first
+// unused one from 2.
 func (l *logSlots) fileName(slot, index int) string {
 	if slot == 0 && index == 0 {
 		return walFileName
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -122,7 +122,7 @@
 	unanswered        map[*putRequest]*message // requests whose clients have no reply yet
 	directory         *membership.Directory
 	pendingUpdate     *membership.Update // a list that is being applied piece by piece
-	applySlice        timeSlice          // time slice for applying it
+	applySlice        workTimer          // time slice for applying it
 	changeBuffer      []membership.Change
 	endpointBuffer    []membership.Endpoint
 	drainPending      atomic.Bool                   // drainAnnounced is in the inbox and not handled yet
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -38,14 +38,14 @@
 	enqueue     func(event)
 	drainQueued *atomic.Bool // a drain event is enqueued that the loop has not processed
 	entries     int
-	slice       timeSlice
+	workTimer   workTimer
 }
 
-// timeSlice limits how long a goroutine works without a pause.
-type timeSlice struct{ started clock.Instant }
+// workTimer limits how long a goroutine works without a pause, to one time slice of listTimeSlice.
+type workTimer struct{ started clock.Instant }
 
 // expired reports whether the time slice is over, and begins the next one if so.
-func (t *timeSlice) expired(now clock.Instant) bool {
+func (t *workTimer) expired(now clock.Instant) bool {
 	if !t.started.IsZero() && now.Sub(t.started) < listTimeSlice {
 		return false
 	}
@@ -62,21 +62,24 @@
 	return &listReceiver{Stage: stage, clock: r.clock, enqueue: r.inbox.put, drainQueued: &r.drainPending}, nil
 }
 
-func (l *listReceiver) Entry(e *membership.Entry, bind bool) error {
-	drains, err := l.Stage.Entry(e, bind)
+// Entry implements membership.Receiver. It notifies the loop when a drain takes effect, and lets other goroutines run
+// at intervals.
+func (l *listReceiver) Entry(e *membership.Entry, applyDrains bool) error {
+	drains, err := l.Stage.Entry(e, applyDrains)
 	if drains && l.drainQueued.CompareAndSwap(false, true) {
 		l.enqueue(event{drainAnnounced: true})
 	}
 	if l.entries++; l.entries%entriesPerYield != 0 {
 		return err
 	}
-	if runtime.Gosched(); l.slice.expired(l.clock.Now()) {
+	if runtime.Gosched(); l.workTimer.expired(l.clock.Now()) {
 		time.Sleep(listPause)
-		l.slice.started = l.clock.Now()
+		l.workTimer.started = l.clock.Now()
 	}
 	return err
 }
 
+// End implements membership.Receiver. It passes the list to the loop, which puts it in force.
 func (l *listReceiver) End(revision int64, complete bool) {
 	l.enqueue(event{update: l.Commit(revision, complete)})
 }
@@ -101,8 +104,8 @@
 	default:
 		return entry
 	}
-	p := r.directory.Attributes(e.AttributesID)
-	entry.Zone, entry.Kind = indexOf(r.cfg.zones, p.Locality), indexOf(r.cfg.kinds, p.Flavor)
+	attributes := r.directory.Attributes(e.AttributesID)
+	entry.Zone, entry.Kind = indexOf(r.cfg.zones, attributes.Locality), indexOf(r.cfg.kinds, attributes.Flavor)
 	return entry
 }
 
@@ -195,9 +198,10 @@
 		r.withdrawEndpoint(ep)
 		ep.hostPort, ep.dest = hostPort, listed.Dest
 	}
-	p := r.directory.Attributes(listed.AttributesID)
-	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), maxZoneNameBytes)], 1, false
-	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
+	attributes := r.directory.Attributes(listed.AttributesID)
+	ep.zone, ep.maxBatch, ep.separateRoute =
+		attributes.Locality[:min(len(attributes.Locality), maxZoneNameBytes)], 1, false
+	if i := indexOf(r.cfg.kinds, attributes.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[i]
 		ep.maxBatch, ep.separateRoute = max(kind.MaxBatch, 1), kind.SeparateLimits
 	}
--- a/internal/relay/outages.go
+++ b/internal/relay/outages.go
@@ -53,7 +53,7 @@
 
 // restoreOutages passes the outages found in the log to the policy, for those of the given endpoints that are listed.
 func (r *Relay) restoreOutages(ids []string) {
-	memory := &decide.Snapshot{}
+	snapshot := &decide.Snapshot{}
 	for _, id := range ids {
 		outage, found := r.unlistedOutages[id]
 		ep, listed := r.directory.Find(id)
@@ -63,9 +63,9 @@
 		delete(r.unlistedOutages, id)
 		outage.Endpoint, outage.Dest = decide.Endpoint(ep.Number), ep.Dest
 		r.endpoint(outage.Endpoint) // creates the object now, so that logOutage finds its id after a removal
-		memory.Outages = append(memory.Outages, outage)
+		snapshot.Outages = append(snapshot.Outages, outage)
 	}
-	if len(memory.Outages) > 0 {
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: memory})
+	if len(snapshot.Outages) > 0 {
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: snapshot})
 	}
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -87,12 +87,13 @@
 		lastByteDelay: lastByteDelay}
 }
 
+// forHost returns a part of the pool for an address. It shares no connections with earlier parts for that address.
 func (p *pool) forHost(addr string) *hostPool {
 	return &hostPool{pool: p, addr: addr, dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		p.mu.Lock()
-		d := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
+		dialer := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
 		p.mu.Unlock()
-		return d.DialContext(ctx, "tcp", addr)
+		return dialer.DialContext(ctx, "tcp", addr)
 	}}
 }
 
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -19,7 +19,7 @@
 	unixTimes bool          // the instants are Unix microseconds, as earlier releases wrote them
 }
 
-// observe takes note of the instants in a record.
+// observe updates the clock from the instants in a record.
 func (c *logClock) observe(rec *record) {
 	for _, at := range []clock.Instant{rec.Deadline, rec.At, rec.InDoubtSince, rec.InFlightSince} {
 		c.unixTimes = c.unixTimes || clock.IsUnix(at) && c.reading == (clock.Reading{})
@@ -85,14 +85,14 @@
 	for _, live := range w.pending {
 		live.rec.convert(conversion, now.Now)
 	}
-	for _, live := range w.endedByID { // an estimate must not let an ended message in again
+	for _, live := range w.endedByID { // an estimate must not let an ended message be accepted again
 		live.rec.Deadline = conversion.Latest(live.rec.Deadline)
 	}
 	for _, live := range w.outagesByEndpoint {
-		moved := convertOutageTimes(*live.rec.Outage, func(t decide.Time) decide.Time {
+		converted := convertOutageTimes(*live.rec.Outage, func(t decide.Time) decide.Time {
 			return decide.Time(conversion.Estimate(clock.Instant(t)))
 		})
-		live.rec.Outage = &moved
+		live.rec.Outage = &converted
 	}
 }
 
--- a/internal/relay/walescape.go
+++ b/internal/relay/walescape.go
@@ -13,8 +13,8 @@
 // markerTail is a marker without its first byte.
 var markerTail = []byte(recordMarker[1:])
 
-// markerPrefixBytes returns the number of bytes before the tail of the marker, escaped or not, that
-// data begins with: its first byte and any zero bytes. It returns 0 if data begins with no marker.
+// markerPrefixBytes returns 0 if data does not begin with a marker, escaped or not. Otherwise it
+// returns the number of bytes before the marker's tail: its first byte and the zero bytes after that.
 func markerPrefixBytes(data []byte) int {
 	if len(data) == 0 || data[0] != recordMarker[0] {
 		return 0
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -7,7 +7,7 @@
 
 // Replies without variable parts.
 const (
-	OK   = "+OK\r\n"   // the relay has taken the message
+	OK   = "+OK\r\n"   // the relay has accepted the message
 	Pong = "+PONG\r\n" // answers a PING without an argument
 )
 
