--- a/internal/relay/batch_test.go
+++ b/internal/relay/batch_test.go
@@ -92,7 +92,8 @@
 		}
 		ids, bodies := decodeBatch(t, c.body)
 		if !slices.Equal(ids, []string{"a", "b", "c"}) || string(bodies[2]) != "body of c" || c.timeout == "" {
-			t.Errorf("batch: got messages %v, bodies %q, timeout %q, want a, b and c with a timeout", ids, bodies, c.timeout)
+			t.Errorf("batch: got messages %v, bodies %q, timeout %q, want a, b and c with a timeout", ids, bodies,
+				c.timeout)
 		}
 	}
 }
@@ -102,11 +103,13 @@
 func TestEachMessageOfABatchHasItsOutcome(t *testing.T) {
 	disc, ep := putWhileBusy(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == batchPath {
-			io.WriteString(w, `[{"id":"taken","state":"accepted"},{"id":"fault","state":"fault"},{"id":"later","state":"deferred"}]`)
+			io.WriteString(w,
+				`[{"id":"taken","state":"accepted"},{"id":"fault","state":"fault"},{"id":"later","state":"deferred"}]`)
 		}
 	}, "once", "taken", "fault", "later")
 	waitFor(t, "the deferred message", func() bool { return ep.count("later") == 1 })
-	waitFor(t, "the notice of the failed message", func() bool { n, ok := disc.notice("fault"); return ok && n.Outcome == noticeGivenUp })
+	waitFor(t, "the notice of the failed message",
+		func() bool { n, ok := disc.notice("fault"); return ok && n.Outcome == noticeGivenUp })
 	for _, id := range []string{"taken", "later"} {
 		if n, ok := disc.notice(id); ok {
 			t.Errorf("notice of a message that was not given up: got %+v, want none", n)
@@ -122,7 +125,7 @@
 func TestBatchResponses(t *testing.T) {
 	const ok, empty = "HTTP/1.1 200 OK\r\n", "Content-Length: 0\r\n\r\n"
 	both := func(a, b itemResult) map[string]itemResult { return map[string]itemResult{"a": a, "b": b} }
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		head, body  string
 		outcome     decide.Outcome
 		itemResults map[string]itemResult
@@ -132,14 +135,20 @@
 			both(itemResult{decide.Delivered, true}, itemResult{decide.Rejected, false}), 0},
 		"expired, no more attempts": {ok, `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"}]`, decide.Errored,
 			both(itemResult{decide.NotSent, true}, itemResult{decide.NotSent, false}), 0},
-		"with Retry-After": {ok + "Retry-After: 0.5\r\n", `[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
+		"with Retry-After": {ok + "Retry-After: 0.5\r\n",
+			`[{"id":"b","state":"accepted"},{"id":"a","state":"accepted"}]`, decide.Errored,
 			both(itemResult{decide.Delivered, true}, itemResult{decide.Delivered, true}), 500000},
-		"one message missing":        {ok, `[{"id":"a","state":"accepted"}]`, decide.Errored, map[string]itemResult{"a": {decide.Delivered, true}}, 0},
-		"unknown message":            {ok, `[{"id":"a","state":"accepted"},{"id":"z","state":"accepted"}]`, decide.Errored, nil, 0},
-		"message named twice":        {ok, `[{"id":"a","state":"accepted"},{"id":"a","state":"fault"}]`, decide.Errored, nil, 0},
-		"unknown state":              {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
-		"invalid JSON":               {ok, `accepted`, decide.Errored, nil, 0},
-		"invalid Retry-After":        {ok + "Retry-After: soon\r\n", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
+		"one message missing": {ok, `[{"id":"a","state":"accepted"}]`, decide.Errored,
+			map[string]itemResult{"a": {decide.Delivered, true}}, 0},
+		"unknown message": {ok, `[{"id":"a","state":"accepted"},{"id":"z","state":"accepted"}]`,
+			decide.Errored, nil, 0},
+		"message named twice": {ok, `[{"id":"a","state":"accepted"},{"id":"a","state":"fault"}]`,
+			decide.Errored, nil, 0},
+		"unknown state": {ok, `[{"id":"a","state":"fine"},{"id":"b","state":"accepted"}]`,
+			decide.Errored, nil, 0},
+		"invalid JSON": {ok, `accepted`, decide.Errored, nil, 0},
+		"invalid Retry-After": {ok + "Retry-After: soon\r\n",
+			`[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"}]`, decide.Errored, nil, 0},
 		"429 with Retry-After":       {"HTTP/1.1 429 W\r\nRetry-After: 0.75\r\n", "", decide.Rejected, nil, 750000},
 		"unavailable":                {"HTTP/1.1 503 F\r\n", "", decide.Rejected, nil, 0},
 		"error":                      {"HTTP/1.1 500 E\r\n", "", decide.Errored, nil, 0},
@@ -148,24 +157,26 @@
 		"status for single messages": {"HTTP/1.1 410 G\r\n", "", decide.Errored, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+			host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if readCall(bufio.NewReader(c)) {
-					text := x.head + empty
-					if x.body != "" {
-						text = x.head + "Connection: close\r\n\r\n" + x.body
+					text := test.head + empty
+					if test.body != "" {
+						text = test.head + "Connection: close\r\n\r\n" + test.body
 					}
 					io.WriteString(c, text)
 				}
 			}))
 			results := make(chan callResult, 4)
-			newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { results <- o })
-			o := <-results
-			if o.outcome != x.outcome || o.retryAfter != x.retryAfter || o.settled || len(o.itemResults) != len(x.itemResults) || len(results) != 0 {
-				t.Errorf("result: got %+v, want that of the case, once", o)
+			newTestCall().run(host, append(testItems("a"), testItems("b")...), nil,
+				func(_ *message, result callResult) { results <- result })
+			result := <-results
+			if result.outcome != test.outcome || result.retryAfter != test.retryAfter || result.settled ||
+				len(result.itemResults) != len(test.itemResults) || len(results) != 0 {
+				t.Errorf("result: got %+v, want that of the case, once", result)
 			}
-			for id, want := range x.itemResults {
-				if o.itemResults[id] != want {
-					t.Errorf("result of message %s: got %+v, want %+v", id, o.itemResults[id], want)
+			for id, want := range test.itemResults {
+				if result.itemResults[id] != want {
+					t.Errorf("result of message %s: got %+v, want %+v", id, result.itemResults[id], want)
 				}
 			}
 		})
@@ -229,26 +240,32 @@
 		}
 	}
 	takeEvents()
-	if len(r.policyEvents) != 1 || r.policyEvents[0].Message != msgs[0].num || r.policyEvents[0].Outcome != decide.TimedOut {
-		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message", r.policyEvents)
+	if len(r.policyEvents) != 1 || r.policyEvents[0].Message != msgs[0].num ||
+		r.policyEvents[0].Outcome != decide.TimedOut {
+		t.Fatalf("events after the shortest timeout: got %+v, want the outcome TimedOut of that message",
+			r.policyEvents)
 	}
 	cancel := func(m *message) {
 		r.performAction(r.now(), &decide.Action{Kind: decide.ActCancel, Message: m.num})
 		r.dispatchCalls()
 		r.policyEvents = nil
 		takeEvents()
-		if len(r.policyEvents) != 1 || r.policyEvents[0].Message != m.num || r.policyEvents[0].Outcome != decide.Cancelled {
-			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID, r.policyEvents)
+		if len(r.policyEvents) != 1 || r.policyEvents[0].Message != m.num ||
+			r.policyEvents[0].Outcome != decide.Cancelled {
+			t.Fatalf("events after cancelling message %s: got %+v, want its outcome Cancelled", m.rec.ID,
+				r.policyEvents)
 		}
 	}
 	cancel(msgs[1])
 	if c.ctx.Err() != nil || r.callsInFlight != 1 {
-		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1", r.callsInFlight)
+		t.Fatalf("call with a message that is not cancelled: the call was cancelled, or got %d calls, want 1",
+			r.callsInFlight)
 	}
 	cancel(msgs[2])
 	<-closed
 	if r.callsInFlight != 0 || len(ep.calls) != 0 {
-		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0", r.callsInFlight, len(ep.calls))
+		t.Errorf("calls in flight after the last message: got %d in the loop and %d at the endpoint, want 0",
+			r.callsInFlight, len(ep.calls))
 	}
 	r.pool.sweep(func(*poolConn) bool { return true })
 }
@@ -259,7 +276,8 @@
 	r := testRelay(t)
 	r.ctx = t.Context()
 	r.wal = &wal{queue: newMailbox[walOp]()}
-	r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk", Locality: "a", Cell: 7, Phase: phaseUp}}})
+	r.told(t, &List{Complete: true, Members: []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Flavor: "bulk",
+		Locality: "a", Cell: 7, Phase: phaseUp}}})
 	num := r.named("s-1").num
 	var requests []*putRequest
 	at := r.now() + 1e9
@@ -296,7 +314,7 @@
 // the stall timeout in all.
 func TestBatchResponseInPieces(t *testing.T) {
 	body := `[{"id":"a","state":"accepted"},{"id":"b","state":"deferred"}]`
-	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+	host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if !readCall(bufio.NewReader(c)) {
 			return
 		}
@@ -308,8 +326,10 @@
 		}
 	}))
 	results := make(chan callResult, 1)
-	newTestCall().run(h, append(testItems("a"), testItems("b")...), nil, func(_ *message, o callResult) { results <- o })
-	if o := <-results; o.err != nil || o.itemResults["a"].outcome != decide.Delivered || o.itemResults["b"].outcome != decide.Rejected {
-		t.Errorf("result: got %+v, want a delivered and b deferred", o)
+	newTestCall().run(host, append(testItems("a"), testItems("b")...), nil,
+		func(_ *message, result callResult) { results <- result })
+	if result := <-results; result.err != nil || result.itemResults["a"].outcome != decide.Delivered ||
+		result.itemResults["b"].outcome != decide.Rejected {
+		t.Errorf("result: got %+v, want a delivered and b deferred", result)
 	}
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -19,7 +19,8 @@
 func serveClients(t *testing.T, submit func(*putRequest)) (*clients, string, chan bool) {
 	t.Helper()
 	written := make(chan bool, 16)
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit, func(_ *putRequest, ok bool) { written <- ok })
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(), submit,
+		func(_ *putRequest, ok bool) { written <- ok })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +33,7 @@
 // replyOK acknowledges a request.
 func replyOK(request *putRequest) { request.sendReply(resp.OK) }
 
-// TestBadInput: an invalid command gets an error reply and no message is taken. The connection is closed where the
+// TestBadInput: an invalid command gets an error reply and no message is accepted. The connection is closed where the
 // position in the input is lost, and serves the next command otherwise.
 func TestBadInput(t *testing.T) {
 	oversizedBody := strings.Repeat("x", maxBodyBytes+1)
@@ -80,7 +81,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, addr, _ := serveClients(t, func(request *putRequest) {
-				t.Error("an invalid command was taken as a message")
+				t.Error("an invalid command was accepted as a message")
 				replyOK(request)
 			})
 			client := dialClient(t, addr)
@@ -112,7 +113,8 @@
 	}
 	if request.record.Class != "keyed" || request.record.Tenant != "acme" || request.record.Dest != 12 ||
 		request.record.Key != "k1" || request.record.ID != "id1" ||
-		request.record.Deadline != now.Add(1500500*time.Microsecond-transitAllowance) || string(request.record.body) != "b" {
+		request.record.Deadline != now.Add(1500500*time.Microsecond-transitAllowance) ||
+		string(request.record.body) != "b" {
 		t.Errorf("got request %+v with record %+v, want the values of the command", request, request.record)
 	}
 }
@@ -135,7 +137,7 @@
 	}
 }
 
-// TestClientGoneBeforeReply: a client that disconnects before its reply does not know that its message was taken and
+// TestClientGoneBeforeReply: a client that disconnects before its reply does not know that its message was accepted and
 // may hand it in elsewhere, so the reply counts as not written.
 func TestClientGoneBeforeReply(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
@@ -266,7 +268,8 @@
 // connection that waits for its reply stays open.
 func TestIncompleteCommand(t *testing.T) {
 	submitted := make(chan *putRequest, 1)
-	server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) { submitted <- request },
+	server := newClients(parseTestConfig(t), clock.System(), quietLog(),
+		func(request *putRequest) { submitted <- request },
 		func(*putRequest, bool) {})
 	server.firstCommandTimeout, server.commandTimeout, server.idleTimeout =
 		300*time.Millisecond, 300*time.Millisecond, 400*time.Millisecond
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -119,14 +119,16 @@
 			}
 		}
 	}
-	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove ||
+	if d := newDiscovery("127.0.0.1:1", 300, -1, clock.System(),
+		quietLog(), nil); d.backoffDelay(1, 0.99) >= knownAfterMove ||
 		d.backoffDelay(6, 0) < maxBackoffCeiling/2 {
-		t.Errorf("300 relays: first delay is up to %v, a later one at least %v; want a shorter first and a longer later one",
+		t.Errorf("300 relays: got a first delay up to %v, a later one of at least %v; want shorter and longer",
 			d.backoffDelay(1, 0.99), d.backoffDelay(6, 0))
 	}
-	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(), quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound ||
+	if d := newDiscovery("127.0.0.1:1", 3, -1, clock.System(),
+		quietLog(), nil); d.backoffDelay(1, 0.99) > 2*minDiscoveryRound ||
 		d.responseWait != minResponseWait {
-		t.Errorf("three relays: first delay is up to %v, response wait %v; want at most two rounds, and minResponseWait",
+		t.Errorf("three relays: got a first delay up to %v, response wait %v; want at most 2 rounds, minResponseWait",
 			d.backoffDelay(1, 0.99), d.responseWait)
 	}
 }
@@ -318,7 +320,7 @@
 		reset += backoff(noticeRetryDelay, failed)
 	}
 	if maxDelay := 200 * time.Millisecond; silent > maxDelay || reset > maxDelay {
-		t.Errorf("third try on silent connections is sent after %v, fifth try after resets after %v; want at most 200ms",
+		t.Errorf("got the third silent try after %v, the fifth try after resets after %v; want at most 200ms",
 			silent, reset)
 	}
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -18,8 +18,9 @@
 
 func parseTestConfig(t testing.TB) *Config {
 	t.Helper()
-	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
-		testSettings+`}`), func(string) string { return "" }, false)
+	c, err := parseConfig([]byte(
+		`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
+			testSettings+`}`), func(string) string { return "" }, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +53,8 @@
 func (c *call) runForResult(t *testing.T, host *hostPool, rec *record, timeout time.Duration) callResult {
 	t.Helper()
 	results := make(chan callResult, 4)
-	c.run(host, []callItem{{rec: rec, timeout: timeout}}, nil, func(_ *message, o callResult) { results <- o })
+	c.run(host, []callItem{{rec: rec, timeout: timeout}}, nil,
+		func(_ *message, result callResult) { results <- result })
 	if len(results) != 1 {
 		t.Fatalf("reported results: got %d, want 1", len(results))
 	}
@@ -113,33 +115,46 @@
 			}
 		}
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		serve      func(net.Conn)
 		outcome    decide.Outcome
 		retryAfter decide.Time
 		slotsTaken bool
 		settled    bool
 	}{
-		"delivered":                 {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), outcome: decide.Delivered, settled: true},
-		"delivered, body cut off":   {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), outcome: decide.Delivered, settled: true},
-		"error":                     {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
-		"Retry-After":               {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Rejected, retryAfter: 750000},
-		"unavailable":               {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Rejected},
-		"slots taken":               {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, slotsTaken: true},
-		"attempts used up":          {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent},
-		"gone":                      {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), outcome: decide.NotSent, settled: true},
-		"undefined status":          {serve: respondWith("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
-		"redirect is not followed":  {serve: respondWith("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Errored},
+		"delivered": {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+			outcome: decide.Delivered, settled: true},
+		"delivered, body cut off": {serve: respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"),
+			outcome: decide.Delivered, settled: true},
+		"error": {serve: respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Errored},
+		"Retry-After": {serve: respondWith("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Rejected, retryAfter: 750000},
+		"unavailable": {serve: respondWith("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Rejected},
+		"slots taken": {serve: respondWith("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.NotSent, slotsTaken: true},
+		"attempts used up": {serve: respondWith("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.NotSent},
+		"gone": {serve: respondWith("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.NotSent, settled: true},
+		"undefined status": {serve: respondWith("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Errored},
+		"redirect is not followed": {serve: respondWith("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Errored},
 		"closed without a response": {serve: respondWith(""), outcome: decide.Reset},
 		"invalid status line":       {serve: respondWith("what?\r\n\r\n"), outcome: decide.Errored},
 		"incomplete status line":    {serve: respondWith("HTTP/1.1 20"), outcome: decide.Reset},
-		"interim response first":    {serve: respondWith("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), outcome: decide.Delivered, settled: true},
+		"interim response first": {
+			serve:   respondWith("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
+			outcome: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := testPool(t).forHost(rawEndpoint(t, x.serve))
-			o := newTestCall().runForResult(t, h, &record{ID: "m", Key: "k", body: []byte("b")}, testLimit)
-			if o.outcome != x.outcome || o.retryAfter != x.retryAfter || o.slotsTaken != x.slotsTaken || o.settled != x.settled {
-				t.Errorf("result: got %+v, want that of the case", o)
+			host := testPool(t).forHost(rawEndpoint(t, test.serve))
+			result := newTestCall().runForResult(t, host, &record{ID: "m", Key: "k", body: []byte("b")}, testLimit)
+			if result.outcome != test.outcome || result.retryAfter != test.retryAfter ||
+				result.slotsTaken != test.slotsTaken || result.settled != test.settled {
+				t.Errorf("result: got %+v, want that of the case", result)
 			}
 		})
 	}
@@ -155,8 +170,9 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"}, testLimit); o.outcome != decide.ConnectFailed {
-		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
+	if result := newTestCall().runForResult(t, p.forHost(refused), &record{ID: "m"},
+		testLimit); result.outcome != decide.ConnectFailed {
+		t.Errorf("call to a closed port: got %+v, want the outcome ConnectFailed", result)
 	}
 	closed := make(chan struct{}, 2)
 	received := make(chan struct{}, 2)
@@ -167,15 +183,16 @@
 		in.ReadByte() // until the relay closes the connection
 		closed <- struct{}{}
 	})
-	if o := newTestCall().runForResult(t, p.forHost(silent), &record{ID: "m"}, 50*time.Millisecond); o.outcome != decide.TimedOut {
-		t.Errorf("call without a response: got %+v, want the outcome TimedOut", o)
+	if result := newTestCall().runForResult(t, p.forHost(silent), &record{ID: "m"},
+		50*time.Millisecond); result.outcome != decide.TimedOut {
+		t.Errorf("call without a response: got %+v, want the outcome TimedOut", result)
 	}
 	<-received
 	<-closed // a call that times out closes its connection
 	c := newTestCall()
 	go func() { <-received; c.cancel(errCancelled) }()
-	if o := c.runForResult(t, p.forHost(silent), &record{ID: "m"}, testLimit); o.outcome != decide.Cancelled {
-		t.Errorf("cancelled call: got %+v, want the outcome Cancelled", o)
+	if result := c.runForResult(t, p.forHost(silent), &record{ID: "m"}, testLimit); result.outcome != decide.Cancelled {
+		t.Errorf("cancelled call: got %+v, want the outcome Cancelled", result)
 	}
 	<-closed
 }
@@ -194,21 +211,22 @@
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			h := testPool(t).forHost(addr)
+			host := testPool(t).forHost(addr)
 			rec := &record{ID: "m", Key: "k", body: body}
-			if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Delivered {
-				t.Fatalf("first call: got %+v, want the outcome Delivered", o)
+			if result := newTestCall().runForResult(t, host, rec, testLimit); result.outcome != decide.Delivered {
+				t.Fatalf("first call: got %+v, want the outcome Delivered", result)
 			}
-			waitReusable(h)
-			if o := newTestCall().runForResult(t, h, rec, testLimit); o.outcome != decide.Reset {
-				t.Errorf("second call: got %+v, want the outcome Reset", o)
+			waitReusable(host)
+			if result := newTestCall().runForResult(t, host, rec, testLimit); result.outcome != decide.Reset {
+				t.Errorf("second call: got %+v, want the outcome Reset", result)
 			}
 			if n := calls.Load(); n != 2 {
 				t.Errorf("calls that the endpoint received: got %d, want 2", n)
 			}
 		})
 	}
-	req, err := newCallRequest("127.0.0.1:1", []callItem{{rec: &record{ID: "m", Key: "k", body: []byte("b")}}}, time.Second)
+	req, err := newCallRequest("127.0.0.1:1", []callItem{{rec: &record{ID: "m", Key: "k", body: []byte("b")}}},
+		time.Second)
 	if err != nil || req.GetBody != nil {
 		t.Errorf("newCallRequest: got GetBody set: %v, error: %v, want neither", req.GetBody != nil, err)
 	}
@@ -220,16 +238,16 @@
 	ep := newFakeEndpoint(t, nil)
 	p := testPool(t)
 	dialing, release := make(chan struct{}), make(chan struct{})
-	h := p.forHost(ep.addr())
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+	host := p.forHost(ep.addr())
+	host.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
 		return net.Dial("tcp", addr)
 	}
 	c := newTestCall()
 	go func() { <-dialing; c.cancelUnsent(errDrained); close(release) }()
-	if o := c.runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
-		t.Errorf("call cancelled while dialing: got %+v, want the outcome NotSent", o)
+	if result := c.runForResult(t, host, &record{ID: "m"}, testLimit); result.outcome != decide.NotSent {
+		t.Errorf("call cancelled while dialing: got %+v, want the outcome NotSent", result)
 	}
 	if n := ep.count("m"); n != 0 {
 		t.Errorf("calls that the endpoint received: got %d, want 0", n)
@@ -237,8 +255,10 @@
 	// The drain may also arrive just as the connection is established.
 	late := newTestCall()
 	late.stage.Store(callCancelled)
-	if o := late.runForResult(t, p.forHost(ep.addr()), &record{ID: "late"}, testLimit); o.outcome != decide.NotSent || ep.count("late") != 0 {
-		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", o, ep.count("late"))
+	if result := late.runForResult(t, p.forHost(ep.addr()), &record{ID: "late"},
+		testLimit); result.outcome != decide.NotSent || ep.count("late") != 0 {
+		t.Errorf("call cancelled before it starts: got %+v and %d calls, want the outcome NotSent and no call", result,
+			ep.count("late"))
 	}
 	// A call that is being sent is not cancelled.
 	sending := newTestCall()
@@ -258,7 +278,8 @@
 		r.cfg.kinds = map[string]int{"k": 0}
 		list := &List{Complete: true}
 		for i, dest := range []int{1, 1, 2} {
-			list.Members = append(list.Members, Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Flavor: "k", Cell: dest, Phase: phaseUp, Size: 5})
+			list.Members = append(list.Members, Member{ID: fmt.Sprint("s-", i), HostPort: "127.0.0.1:1", Flavor: "k",
+				Cell: dest, Phase: phaseUp, Size: 5})
 		}
 		r.told(t, list)
 		var calls []*call
@@ -277,7 +298,8 @@
 		r.handleCallResult(throttled, nil, &callResult{outcome: decide.Rejected, retryAfter: 700e3})
 		for i, cancelled := range []bool{true, !separate, false} {
 			if got := calls[i].stage.Load() == callCancelled; got != cancelled || got != (calls[i].ctx.Err() != nil) {
-				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got, cancelled)
+				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got,
+					cancelled)
 			}
 			if got := calls[i].ep.waitUntil > r.now(); got != cancelled {
 				t.Errorf("separate routes %v: endpoint %d waits: got %v, want %v", separate, i, got, cancelled)
@@ -293,13 +315,14 @@
 // One slow call while others get responses is no reason to close them.
 func TestDeadIdleConnectionsAreClosed(t *testing.T) {
 	ep := &endpoint{}
-	for i, x := range []struct {
+	for i, test := range []struct {
 		result callResult
 		now    decide.Time
 		want   bool
 	}{
 		{callResult{outcome: decide.Delivered, status: 200, elapsed: 10}, 1000, false},
-		{callResult{outcome: decide.TimedOut, elapsed: 500}, 1100, false}, // sent at 600, and the endpoint responded at 1000
+		// The call was sent at 600, and the endpoint responded at 1000.
+		{callResult{outcome: decide.TimedOut, elapsed: 500}, 1100, false},
 		{callResult{outcome: decide.TimedOut, elapsed: 500}, 2000, true},
 		{callResult{outcome: decide.Reset}, 2100, false}, // the endpoint responded at 1000: a single connection broke
 		{callResult{outcome: decide.Reset}, 1000 + recentResponseWindow + 1, true},
@@ -307,7 +330,7 @@
 		{callResult{outcome: decide.Rejected, status: 503}, 2300, false},
 		{callResult{outcome: decide.Cancelled, elapsed: 50}, 2320, false},
 	} {
-		if got := ep.recordResult(&x.result, x.now); got != x.want {
+		if got := ep.recordResult(&test.result, test.now); got != test.want {
 			t.Errorf("case %d: idle connections to be closed: got %v, want the opposite", i, got)
 		}
 	}
@@ -327,25 +350,26 @@
 			for len(inFlight) < burst { // all calls of a burst are in flight together
 				time.Sleep(time.Millisecond)
 			}
-			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
+			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"),
+				make([]byte, 9000)...)))
 		}
 	})
-	h := testPool(t).forHost(addr)
+	host := testPool(t).forHost(addr)
 	for round := range 2 {
 		done, ended := make(chan callResult, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { done <- o })
+				newTestCall().run(host, testItems("m"), nil, func(_ *message, result callResult) { done <- result })
 				ended <- true
 			}()
 		}
 		for range burst {
-			if o := <-done; o.outcome != decide.Delivered {
-				t.Fatalf("burst %d: got %+v, want the outcome Delivered", round, o)
+			if result := <-done; result.outcome != decide.Delivered {
+				t.Fatalf("burst %d: got %+v, want the outcome Delivered", round, result)
 			}
 			<-ended
 		}
-		waitReusable(h)
+		waitReusable(host)
 		for len(inFlight) > 0 {
 			<-inFlight
 		}
@@ -356,7 +380,8 @@
 }
 
 func TestParseRetryAfter(t *testing.T) {
-	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
+	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1,
+		"NaN": -1, "Inf": -1, "1e99": -1} {
 		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
 			t.Errorf("Retry-After %q: got %d, error %v, want %d (-1 for an error)", s, got, err, want)
@@ -366,7 +391,8 @@
 
 func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {},
+		"x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
 		if got := parseLoad(s, fields); got != want {
 			t.Errorf("load report %q: got %+v, want that of the case", s, got)
 		}
@@ -380,11 +406,12 @@
 // or is cut off does not delay the result.
 func TestLoadReportOfADelivery(t *testing.T) {
 	const statusLine, load = "HTTP/1.1 200 OK\r\n", "X-Server-Load: x0=0.4,x1=25\r\n"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		parts []string
 		want  decide.Load
 	}{
-		"with the status line":  {[]string{statusLine + load + "Content-Length: 0\r\n\r\n"}, decide.Load{Remaining: 0.4, Limit: 25}},
+		"with the status line": {[]string{statusLine + load + "Content-Length: 0\r\n\r\n"},
+			decide.Load{Remaining: 0.4, Limit: 25}},
 		"no report":             {[]string{statusLine + "Content-Length: 0\r\n\r\n"}, decide.Load{}},
 		"cut off":               {[]string{statusLine + "X-Server-Load: x0=0.4,x1=2"}, decide.Load{}},
 		"invalid header":        {[]string{statusLine + "x1=25\r\n\r\n"}, decide.Load{}},
@@ -392,21 +419,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			results := make(chan callResult, 4)
-			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+			host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				if !readCall(bufio.NewReader(c)) {
 					return
 				}
-				for i, text := range x.parts {
+				for i, text := range test.parts {
 					if i > 0 { // waits for the result of the first part
-						o := <-results
-						results <- o
+						result := <-results
+						results <- result
 					}
 					io.WriteString(c, text)
 				}
 			}))
-			newTestCall().run(h, testItems("m"), []string{"x0", "x1"}, func(_ *message, o callResult) { results <- o })
-			if o := <-results; o.outcome != decide.Delivered || o.load != x.want {
-				t.Errorf("result: got %+v, want the outcome Delivered and the load of the case", o)
+			newTestCall().run(host, testItems("m"), []string{"x0", "x1"},
+				func(_ *message, result callResult) { results <- result })
+			if result := <-results; result.outcome != decide.Delivered || result.load != test.want {
+				t.Errorf("result: got %+v, want the outcome Delivered and the load of the case", result)
 			}
 		})
 	}
@@ -415,8 +443,8 @@
 func TestProbe(t *testing.T) {
 	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Errored} {
 		ep := newFakeEndpoint(t, status(code))
-		if o := probe(context.Background(), testPool(t).forHost(ep.addr())); o.outcome != want {
-			t.Errorf("probe with status %d: got %+v, want the outcome of the case", code, o)
+		if result := probe(context.Background(), testPool(t).forHost(ep.addr())); result.outcome != want {
+			t.Errorf("probe with status %d: got %+v, want the outcome of the case", code, result)
 		}
 	}
 }
--- a/internal/relay/hangup_test.go
+++ b/internal/relay/hangup_test.go
@@ -32,7 +32,7 @@
 				t.Parallel()
 				_, addr, written := serveClients(t, func(request *putRequest) {
 					if request.record.ID == "trailing" {
-						t.Error("a message after the malformed command was taken")
+						t.Error("a message after the malformed command was accepted")
 					}
 					replyOK(request)
 				})
@@ -85,7 +85,7 @@
 
 // TestRequestArrivesDuringClose: a request that arrives while an idle connection is being closed must not reset it,
 // for whatever reason it is closed. The client receives its earlier reply and the end of the connection. The request
-// is not taken, since the client sends it again.
+// is not accepted, since the client sends it again.
 func TestRequestArrivesDuringClose(t *testing.T) {
 	for name, closeConns := range map[string]func(*clients){
 		"idle for too long":  func(*clients) {},
@@ -105,11 +105,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var client *testClient
-			dialled, notReceived := make(chan struct{}), make(chan struct{})
+			dialed, notReceived := make(chan struct{}), make(chan struct{})
 			written := make(chan bool, 4)
 			server := newClients(parseTestConfig(t), clock.System(), quietLog(), func(request *putRequest) {
 				if request.record.ID == "during-close" {
-					t.Error("a message was taken after the connection was closed")
+					t.Error("a message was accepted after the connection was closed")
 				}
 				replyOK(request)
 			}, func(_ *putRequest, ok bool) { written <- ok })
@@ -118,13 +118,13 @@
 			}
 			listener := &wrappingListener{listenLocal(t), func(tcp *net.TCPConn) net.Conn {
 				return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
-					<-dialled
+					<-dialed
 					io.WriteString(client, putText("during-close", fields("plain", 8000, 1), nil))
 				}}
 			}}
 			go server.serve(listener)
 			client = dialClient(t, listener.Addr().String())
-			close(dialled)
+			close(dialed)
 			io.WriteString(client, putText("m", fields("plain", 8000, 1), nil))
 			if !<-written {
 				t.Error("the first reply was reported as not written, want written")
@@ -158,15 +158,15 @@
 func TestRestOfCommandArrivesDuringEviction(t *testing.T) {
 	text := putText("half", fields("plain", 8000, 1), []byte("body"))
 	var client *testClient
-	dialled, notReceived := make(chan struct{}), make(chan struct{})
+	dialed, notReceived := make(chan struct{}), make(chan struct{})
 	server, addr, _ := serveFaultyConns(t, replyOK, func(tcp *net.TCPConn) net.Conn {
 		return &closeHookConn{TCPConn: tcp, notReceived: notReceived, beforeClose: func() {
-			<-dialled
+			<-dialed
 			io.WriteString(client, text[len(text)/2:])
 		}}
 	})
 	client = dialClient(t, addr)
-	close(dialled)
+	close(dialed)
 	io.WriteString(client, text[:len(text)/2])
 	waitFor(t, "the first bytes of the command to be read", func() bool {
 		server.mu.Lock()
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -20,48 +20,67 @@
 // 200, which means delivered. No response is read beyond its size limit or its timeouts.
 func TestMalformedResponses(t *testing.T) {
 	long := strings.Repeat("x", 8000)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		response string
 		endless  bool // the endpoint sends without end after the response
 		outcome  decide.Outcome
 		settled  bool
 		reusable bool
 	}{
-		"503 with a short body":               {response: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", outcome: decide.Errored},
-		"invalid Retry-After":                 {response: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
-		"410 with an incomplete header":       {response: "HTTP/1.1 410 G\r\nContent-Le", outcome: decide.Errored},
-		"504 with two lengths":                {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", outcome: decide.Errored},
-		"503 with a length that is no number": {response: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", outcome: decide.Errored},
-		"503 with a negative length":          {response: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", outcome: decide.Errored},
-		"503 with a body of 3 GB":             {response: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", endless: true, outcome: decide.Errored},
-		"503 with an endless header":          {response: "HTTP/1.1 503 F\r\n", endless: true, outcome: decide.Errored},
-		"503 with a cut chunk":                {response: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", outcome: decide.Errored},
-		"binary data":                         {response: "\x00\xff\x13noise\x00", outcome: decide.Errored},
-		"binary data before a status line":    {response: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: decide.Errored},
-		"endless status line":                 {response: "HTTP/1.1 503 " + long, endless: true, outcome: decide.Errored},
-		"status of four digits":               {response: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
-		"another protocol version":            {response: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", outcome: decide.Errored},
-		"200 with a body of 3 GB":             {response: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", endless: true, outcome: decide.Delivered, settled: true},
-		"200 with an incomplete header":       {response: "HTTP/1.1 200 OK\r\nX-", outcome: decide.Delivered, settled: true},
-		"200 with binary data as header":      {response: "HTTP/1.1 200 OK\r\n\x00\x01\xff", outcome: decide.Delivered, settled: true},
-		"200 with a negative length":          {response: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", outcome: decide.Delivered, settled: true},
-		"several interim responses":           {response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, outcome: decide.Delivered, settled: true, reusable: true},
-		"too many interim responses":          {response: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), outcome: decide.Errored},
-		"incomplete interim response":         {response: "HTTP/1.1 103 E\r\n", outcome: decide.Errored},
-		"503, then a second copy":             {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: decide.Rejected},
-		"200, then a second copy":             {response: okResponse + okResponse, outcome: decide.Delivered, settled: true},
+		"503 with a short body": {response: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno",
+			outcome: decide.Errored},
+		"invalid Retry-After": {response: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n",
+			outcome: decide.Errored},
+		"410 with an incomplete header": {response: "HTTP/1.1 410 G\r\nContent-Le", outcome: decide.Errored},
+		"504 with two lengths": {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
+			outcome: decide.Errored},
+		"503 with a length that is no number": {response: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n",
+			outcome: decide.Errored},
+		"503 with a negative length": {response: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n",
+			outcome: decide.Errored},
+		"503 with a body of 3 GB": {response: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n",
+			endless: true, outcome: decide.Errored},
+		"503 with an endless header": {response: "HTTP/1.1 503 F\r\n", endless: true, outcome: decide.Errored},
+		"503 with a cut chunk": {response: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+			outcome: decide.Errored},
+		"binary data": {response: "\x00\xff\x13noise\x00", outcome: decide.Errored},
+		"binary data before a status line": {response: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n",
+			outcome: decide.Errored},
+		"endless status line": {response: "HTTP/1.1 503 " + long, endless: true,
+			outcome: decide.Errored},
+		"status of four digits": {response: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
+			outcome: decide.Errored},
+		"another protocol version": {response: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n",
+			outcome: decide.Errored},
+		"200 with a body of 3 GB": {response: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+			endless: true, outcome: decide.Delivered, settled: true},
+		"200 with an incomplete header": {response: "HTTP/1.1 200 OK\r\nX-", outcome: decide.Delivered, settled: true},
+		"200 with binary data as header": {response: "HTTP/1.1 200 OK\r\n\x00\x01\xff", outcome: decide.Delivered,
+			settled: true},
+		"200 with a negative length": {response: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
+			outcome: decide.Delivered, settled: true},
+		"several interim responses": {
+			response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse,
+			outcome:  decide.Delivered, settled: true, reusable: true},
+		"too many interim responses": {response: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500),
+			outcome: decide.Errored},
+		"incomplete interim response": {response: "HTTP/1.1 103 E\r\n", outcome: decide.Errored},
+		"503, then a second copy": {
+			response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n",
+			outcome:  decide.Rejected},
+		"200, then a second copy": {response: okResponse + okResponse, outcome: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			closed := make(chan int, 1)
-			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+			host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
 				if !readCall(in) {
 					return
 				}
-				io.WriteString(c, x.response)
+				io.WriteString(c, test.response)
 				n := 0
-				for x.endless {
+				for test.endless {
 					m, err := c.Write([]byte(long))
 					if n += m; err != nil {
 						closed <- n
@@ -71,19 +90,19 @@
 				io.Copy(io.Discard, in) // the endpoint keeps the connection open
 				closed <- n
 			}))
-			o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit)
-			if o.outcome != x.outcome || o.settled != x.settled {
-				t.Errorf("result: got %+v, want that of the case", o)
+			result := newTestCall().runForResult(t, host, &record{ID: "m", body: []byte("b")}, testLimit)
+			if result.outcome != test.outcome || result.settled != test.settled {
+				t.Errorf("result: got %+v, want that of the case", result)
 			}
-			if o.elapsed > (testLimit / 2).Microseconds() {
-				t.Errorf("elapsed time: got %d us, want no wait for data that does not come", o.elapsed)
+			if result.elapsed > (testLimit / 2).Microseconds() {
+				t.Errorf("elapsed time: got %d us, want no wait for data that does not come", result.elapsed)
 			}
-			if _, idle := h.pool.counts(); (idle != 0) != x.reusable {
+			if _, idle := host.pool.counts(); (idle != 0) != test.reusable {
 				t.Errorf("idle connections after the call: got %d, which is not what the case wants", idle)
 			}
-			h.closeIdle()
+			host.closeIdle()
 			if n := <-closed; n > 64<<20 {
-				t.Errorf("bytes that the endpoint sent before the relay closed the connection: got %d, want at most 64 MB", n)
+				t.Errorf("bytes that the endpoint sent before the connection closed: got %d, want at most 64 MB", n)
 			}
 		})
 	}
@@ -92,7 +111,7 @@
 // Guards the time at which a delivery is reported: as soon as the status line has arrived.
 func TestDeliveredAtStatusLine(t *testing.T) {
 	release := make(chan struct{})
-	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+	host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			<-release
@@ -101,10 +120,10 @@
 	results, done := make(chan callResult, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { results <- o })
+		newTestCall().run(host, testItems("m"), nil, func(_ *message, result callResult) { results <- result })
 	}()
-	if o := <-results; o.outcome != decide.Delivered {
-		t.Errorf("result: got %+v, want the outcome Delivered", o)
+	if result := <-results; result.outcome != decide.Delivered {
+		t.Errorf("result: got %+v, want the outcome Delivered", result)
 	}
 	select {
 	case <-done:
@@ -119,7 +138,7 @@
 // has begun.
 func TestInterimResponseLongBeforeFinal(t *testing.T) {
 	release := make(chan struct{})
-	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+	host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 102 P\r\n\r\n")
 			<-release
@@ -129,16 +148,16 @@
 	results, done := make(chan callResult, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		newTestCall().run(h, testItems("m"), nil, func(_ *message, o callResult) { results <- o })
+		newTestCall().run(host, testItems("m"), nil, func(_ *message, result callResult) { results <- result })
 	}()
 	select {
-	case o := <-results:
-		t.Fatalf("result before the final response: got %+v, want none", o)
+	case result := <-results:
+		t.Fatalf("result before the final response: got %+v, want none", result)
 	case <-time.After(2 * responseStallTimeout):
 	}
 	close(release)
-	if o := <-results; o.outcome != decide.Delivered {
-		t.Errorf("result: got %+v, want the outcome Delivered", o)
+	if result := <-results; result.outcome != decide.Delivered {
+		t.Errorf("result: got %+v, want the outcome Delivered", result)
 	}
 	<-done
 }
@@ -152,7 +171,7 @@
 			var conns, calls atomic.Int32
 			sent := make(chan struct{}, 8)
 			sendSurplus := make(chan struct{})
-			h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+			host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 				first := conns.Add(1) == 1
 				in := bufio.NewReader(c)
 				for readCall(in) {
@@ -169,22 +188,24 @@
 					}
 				}
 			}))
-			if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
-				t.Fatalf("first call: got %+v, want the outcome Delivered", o)
+			if result := newTestCall().runForResult(t, host, &record{ID: "a"},
+				testLimit); result.outcome != decide.Delivered {
+				t.Fatalf("first call: got %+v, want the outcome Delivered", result)
 			}
-			if _, idle := h.pool.counts(); idle != 1 {
+			if _, idle := host.pool.counts(); idle != 1 {
 				t.Fatalf("idle connections after the first call: got %d, want 1", idle)
 			}
 			close(sendSurplus)
 			<-sent
-			waitReusable(h)
+			waitReusable(host)
 			waitFor(t, "the surplus bytes", func() bool {
-				h.pool.mu.Lock()
-				defer h.pool.mu.Unlock()
-				return len(h.pool.idle) == 0 || !h.pool.idle[0].isClean()
+				host.pool.mu.Lock()
+				defer host.pool.mu.Unlock()
+				return len(host.pool.idle) == 0 || !host.pool.idle[0].isClean()
 			})
-			if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Rejected {
-				t.Errorf("second call: got %+v, want the outcome Full", o)
+			if result := newTestCall().runForResult(t, host, &record{ID: "b"},
+				testLimit); result.outcome != decide.Rejected {
+				t.Errorf("second call: got %+v, want the outcome Rejected", result)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
 				t.Errorf("got %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
@@ -194,7 +215,7 @@
 	t.Run("while the call is written", func(t *testing.T) {
 		var conns atomic.Int32
 		got := make(chan int, 4) // how often the whole second call arrived on the first connection
-		h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
+		host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) {
 			first := conns.Add(1) == 1
 			in := bufio.NewReader(c)
 			for n := 0; readCall(in); n++ {
@@ -207,19 +228,22 @@
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
-			t.Fatalf("first call: got %+v, want the outcome Delivered", o)
+		if result := newTestCall().runForResult(t, host, &record{ID: "a"},
+			testLimit); result.outcome != decide.Delivered {
+			t.Fatalf("first call: got %+v, want the outcome Delivered", result)
 		}
-		waitReusable(h)
-		h.pool.mu.Lock()
-		c := h.pool.idle[0]
+		waitReusable(host)
+		host.pool.mu.Lock()
+		c := host.pool.idle[0]
 		c.Conn = &eofOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
-		h.pool.mu.Unlock()
-		if o := newTestCall().runForResult(t, h, &record{ID: "b", body: []byte("the tail of the body")}, testLimit); o.outcome != decide.Rejected {
-			t.Errorf("second call: got %+v, want the outcome Full", o)
+		host.pool.mu.Unlock()
+		if result := newTestCall().runForResult(t, host, &record{ID: "b", body: []byte("the tail of the body")},
+			testLimit); result.outcome != decide.Rejected {
+			t.Errorf("second call: got %+v, want the outcome Rejected", result)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
-			t.Errorf("second call: got %d times on the first connection, want 0; got %d connections, want 2", n, conns.Load())
+			t.Errorf("second call: got %d times on the first connection, want 0; got %d connections, want 2", n,
+				conns.Load())
 		}
 	})
 }
@@ -230,11 +254,11 @@
 	begun bool
 }
 
-func (r *eofOnWriteConn) Write(b []byte) (int, error) {
-	n, err := r.TCPConn.Write(b)
-	if !r.begun {
-		r.begun = true
-		r.TCPConn.CloseRead() // an end of file is detected like surplus bytes
+func (c *eofOnWriteConn) Write(b []byte) (int, error) {
+	n, err := c.TCPConn.Write(b)
+	if !c.begun {
+		c.begun = true
+		c.TCPConn.CloseRead() // an end of file is detected like surplus bytes
 	}
 	return n, err
 }
@@ -244,7 +268,7 @@
 func TestConnectionDroppedWithoutNotice(t *testing.T) {
 	var conns, calls atomic.Int32
 	p := testPool(t)
-	h := p.forHost(rawEndpoint(t, func(c net.Conn) {
+	host := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
 		in := bufio.NewReader(c)
 		if !readCall(in) {
@@ -258,18 +282,18 @@
 		}
 	}))
 	p.lastByteDelay = time.Millisecond
-	if o := newTestCall().runForResult(t, h, &record{ID: "a"}, testLimit); o.outcome != decide.Delivered {
-		t.Fatalf("first call: got %+v, want the outcome Delivered", o)
+	if result := newTestCall().runForResult(t, host, &record{ID: "a"}, testLimit); result.outcome != decide.Delivered {
+		t.Fatalf("first call: got %+v, want the outcome Delivered", result)
 	}
-	waitReusable(h)
-	dial := h.dial
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+	waitReusable(host)
+	dial := host.dial
+	host.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		p.lastByteDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
 	p.lastByteDelay = testLimit // the reset ends the delay
-	if o := newTestCall().runForResult(t, h, &record{ID: "b"}, testLimit); o.outcome != decide.Delivered {
-		t.Errorf("second call: got %+v, want the outcome Delivered", o)
+	if result := newTestCall().runForResult(t, host, &record{ID: "b"}, testLimit); result.outcome != decide.Delivered {
+		t.Errorf("second call: got %+v, want the outcome Delivered", result)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
 		t.Errorf("got %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
@@ -278,14 +302,15 @@
 
 // Guards the outcome of a call whose connections all break before its last byte is written: it has not run.
 func TestConnectionBreaksBeforeLastByte(t *testing.T) {
-	h := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
-	dial := h.dial
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+	host := testPool(t).forHost(rawEndpoint(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+	dial := host.dial
+	host.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := dial(ctx, addr)
 		return &brokenWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().runForResult(t, h, &record{ID: "m", body: []byte("b")}, testLimit); o.outcome != decide.ConnectFailed {
-		t.Errorf("result: got %+v, want the outcome NoConnect", o)
+	if result := newTestCall().runForResult(t, host, &record{ID: "m", body: []byte("b")},
+		testLimit); result.outcome != decide.ConnectFailed {
+		t.Errorf("result: got %+v, want the outcome ConnectFailed", result)
 	}
 }
 
@@ -313,8 +338,9 @@
 	p := testPool(t)
 	p.maxOpen = 3
 	for i := range 10 {
-		if o := newTestCall().runForResult(t, p.forHost(rawEndpoint(t, serve)), &record{ID: "m"}, testLimit); o.outcome != decide.Delivered {
-			t.Fatalf("call to endpoint %d: got %+v, want the outcome Delivered", i, o)
+		if result := newTestCall().runForResult(t, p.forHost(rawEndpoint(t, serve)), &record{ID: "m"},
+			testLimit); result.outcome != decide.Delivered {
+			t.Fatalf("call to endpoint %d: got %+v, want the outcome Delivered", i, result)
 		}
 		if open, _ := p.counts(); open > 3 {
 			t.Fatalf("open connections: got %d, want at most 3", open)
@@ -332,11 +358,11 @@
 	for range 3 {
 		c := newTestCall()
 		calls = append(calls, c)
-		go func() { c.run(stuck, testItems("m"), nil, func(_ *message, o callResult) { results <- o }) }()
+		go func() { c.run(stuck, testItems("m"), nil, func(_ *message, result callResult) { results <- result }) }()
 		<-received
 	}
-	if o := newTestCall().runForResult(t, stuck, &record{ID: "m"}, testLimit); o.outcome != decide.NotSent {
-		t.Errorf("fourth call with a limit of 3: got %+v, want the outcome NotSent", o)
+	if result := newTestCall().runForResult(t, stuck, &record{ID: "m"}, testLimit); result.outcome != decide.NotSent {
+		t.Errorf("fourth call with a limit of 3: got %+v, want the outcome NotSent", result)
 	}
 	for _, c := range calls {
 		c.cancel(errCancelled)
@@ -344,8 +370,9 @@
 	}
 	waitFor(t, "the connections to close", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := p.forHost("127.0.0.1:1")
-	if o := newTestCall().runForResult(t, refused, &record{ID: "m"}, testLimit); o.outcome != decide.ConnectFailed {
-		t.Errorf("call to a closed port: got %+v, want the outcome NoConnect", o)
+	if result := newTestCall().runForResult(t, refused, &record{ID: "m"},
+		testLimit); result.outcome != decide.ConnectFailed {
+		t.Errorf("call to a closed port: got %+v, want the outcome ConnectFailed", result)
 	}
 	if open, _ := p.counts(); open != 0 {
 		t.Errorf("open connections after a refused dial: got %d, want 0", open)
@@ -357,7 +384,7 @@
 func TestPoolSweeps(t *testing.T) {
 	end := make(chan struct{})
 	p := testPool(t)
-	h := p.forHost(rawEndpoint(t, func(c net.Conn) {
+	host := p.forHost(rawEndpoint(t, func(c net.Conn) {
 		if readCall(bufio.NewReader(c)) {
 			io.WriteString(c, okResponse)
 			<-end
@@ -366,7 +393,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.run(ctx) }()
-	newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit)
+	newTestCall().runForResult(t, host, &record{ID: "m"}, testLimit)
 	if _, idle := p.counts(); idle != 1 {
 		t.Fatalf("idle connections after the call: got %d, want 1", idle)
 	}
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -41,7 +41,8 @@
 
 // acceptedWithRepeat returns a record that accepts a message of a class with the given repeat rule.
 func acceptedWithRepeat(id string, repeat decide.Idempotency) *record {
-	return &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: 4e15, MaxAttempts: 8, body: []byte("body of " + id),
+	return &record{Kind: recordAccepted, ID: id, Class: "c", Deadline: 4e15, MaxAttempts: 8,
+		body:  []byte("body of " + id),
 		Rules: &decide.Class{Name: "c", Idempotency: repeat, Deadline: 20e6, DedupWindow: 5e6}}
 }
 
@@ -117,7 +118,8 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-			mustAppend(t, w, acceptedWithRepeat("safe", decide.Idempotent), acceptedWithRepeat("unsafe", decide.NonIdempotent),
+			mustAppend(t, w, acceptedWithRepeat("safe", decide.Idempotent),
+				acceptedWithRepeat("unsafe", decide.NonIdempotent),
 				acceptedWithRepeat("ended", decide.NonIdempotent),
 				acceptedWithRepeat("done", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "done", At: 10},
 				&record{Kind: recordAttempt, ID: "unsafe", At: 20})
@@ -125,8 +127,9 @@
 			if err := w.append(acceptedWithRepeat("new", decide.Idempotent), false); err == nil {
 				t.Fatal("a new message was accepted")
 			}
-			mustAppend(t, w, &record{Kind: recordEnd, ID: "done", MayHaveRun: true}, &record{Kind: recordOutcome, ID: "unsafe"},
-				&record{Kind: recordAttempt, ID: "safe", At: 30}, &record{Kind: recordOutcome, ID: "safe", MayHaveRun: true})
+			mustAppend(t, w, &record{Kind: recordEnd, ID: "done", MayHaveRun: true},
+				&record{Kind: recordOutcome, ID: "unsafe"}, &record{Kind: recordAttempt, ID: "safe", At: 30},
+				&record{Kind: recordOutcome, ID: "safe", MayHaveRun: true})
 			notified := false
 			w.perform(walOp{rec: &record{Kind: recordEnding, ID: "ended", Notice: noticeHandedBack, RetryMS: 7},
 				onDone: func(error) { notified = true }})
@@ -151,13 +154,13 @@
 				t.Fatalf("recovered %d messages, want 3 without \"done\"", len(found))
 			}
 			if r := found["unsafe"]; r.Attempts != 1 || r.InDoubtSince != 0 || r.InFlightSince != 0 {
-				t.Errorf("unsafe: recovered %+v", r)
+				t.Errorf("unsafe: recovered %+v, want one attempt that has not run", r)
 			}
 			if r := found["safe"]; r.Attempts != 1 || r.InDoubtSince != 30 {
-				t.Errorf("safe: recovered %+v", r)
+				t.Errorf("safe: recovered %+v, want one attempt that may have run since 30", r)
 			}
 			if r := found["ended"]; r.Notice != noticeHandedBack || r.RetryMS != 7 {
-				t.Errorf("ended: recovered %+v", r)
+				t.Errorf("ended: recovered %+v, want the notice handed_back with 7 ms", r)
 			}
 			if err := w.append(acceptedWithRepeat("new", decide.Idempotent), false); err != nil {
 				t.Error(err)
@@ -197,7 +200,7 @@
 			for range 2 { // the first append detects the failure
 				err := w.append(&record{Kind: recordAttempt, ID: "m", At: sent}, false)
 				if (err == nil) != test.allowed {
-					t.Errorf("append of the attempt: got error %v", err)
+					t.Errorf("append of the attempt: got error %v, want success only if it is allowed", err)
 				}
 			}
 		})
@@ -247,7 +250,8 @@
 		folder.heal()
 		w.retryWrites()
 		w.retryWrites()
-		if countLines(&lines, "state folder: failing") != round || countLines(&lines, "state folder: works again") != round ||
+		if countLines(&lines, "state folder: failing") != round ||
+			countLines(&lines, "state folder: works again") != round ||
 			strings.Count(lines.String(), "\n") != 2*round {
 			t.Fatalf("round %d: want one line for each begin and end of a failure, got:\n%s", round, lines.String())
 		}
@@ -273,8 +277,8 @@
 				mustAppend(t, w, big, &record{Kind: recordEnd, ID: "big"})
 			}
 			if w.health.failing || !w.health.compactionFailed || w.size < minCompactionBytes {
-				t.Fatalf("got failing %v, compaction failed %v, %d bytes; want a failed compaction only", w.health.failing,
-					w.health.compactionFailed, w.size)
+				t.Fatalf("got failing %v, compaction failed %v, %d bytes; want a failed compaction only",
+					w.health.failing, w.health.compactionFailed, w.size)
 			}
 			if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
 				t.Errorf("recovered %q, want a", got)
@@ -282,12 +286,13 @@
 			folder.heal()
 			w.retryWrites()
 			if w.size > minCompactionBytes || w.health.compactionFailed {
-				t.Errorf("log has %d bytes and is not compacted", w.size)
+				t.Errorf("log after the folder works again: got %d bytes, want a compacted log", w.size)
 			}
 			if got := recoverCopyIDs(t, dir); !slices.Equal(got, []string{"a"}) {
 				t.Errorf("recovered %q after the compaction, want a", got)
 			}
-			if countLines(&lines, "state folder: failing") != 1 || countLines(&lines, "state folder: works again") != 1 {
+			if countLines(&lines, "state folder: failing") != 1 ||
+				countLines(&lines, "state folder: works again") != 1 {
 				t.Errorf("want one failure and its end, logged:\n%s", lines.String())
 			}
 		})
@@ -336,7 +341,8 @@
 				dir := t.TempDir()
 				folder := newFaultyFolder()
 				w, _ := openFaultyWAL(t, dir, folder, 1<<20, quietLog())
-				mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "a", At: 10},
+				mustAppend(t, w, acceptedWithRepeat("a", decide.NonIdempotent),
+					&record{Kind: recordAttempt, ID: "a", At: 10},
 					&record{Kind: recordOutcome, ID: "a"})
 				folder.killAfter = killAfter
 				mustAppend(t, w, last)
@@ -450,7 +456,8 @@
 			if err != nil {
 				continue
 			}
-			if w, _, err = openWAL(slots, 1<<20, func(string) bool { return false }, clock.System(), quietLog()); err != nil {
+			if w, _, err = openWAL(slots, 1<<20, func(string) bool { return false }, clock.System(),
+				quietLog()); err != nil {
 				slots.release()
 			}
 		}
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -54,8 +54,8 @@
 
 // drawnSteps has each kind of step as often as its weight in the random choice.
 var drawnSteps = []stepKind{stepAccept, stepAccept, stepAttempt, stepAttempt, stepAttempt, stepDelivered, stepNeverRan,
-	stepMayHaveRun, stepMayHaveRun, stepFinish, stepConfirm, stepCompact, stepRetry, stepFailWrites, stepFailAll, stepHeal,
-	stepWait, stepWait}
+	stepMayHaveRun, stepMayHaveRun, stepFinish, stepConfirm, stepCompact, stepRetry, stepFailWrites, stepFailAll,
+	stepHeal, stepWait, stepWait}
 
 // modelStep is one step. Each kind uses only the fields it needs.
 type modelStep struct {
@@ -72,10 +72,11 @@
 	return modelStep{
 		Kind:         rapid.SampledFrom(drawnSteps).Draw(t, "kind"),
 		MessageIndex: rapid.IntRange(0, 7).Draw(t, "which"),
-		Repeat:       rapid.SampledFrom([]decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}).Draw(t, "repeat"),
-		Micros:       rapid.Int64Range(1, 4e6).Draw(t, "micros"),
-		Bytes:        rapid.IntRange(0, 400).Draw(t, "bytes"),
-		Kill:         rapid.IntRange(0, 9).Draw(t, "kill") == 0,
+		Repeat: rapid.SampledFrom([]decide.Idempotency{decide.Idempotent, decide.Deduplicated, decide.NonIdempotent}).
+			Draw(t, "repeat"),
+		Micros: rapid.Int64Range(1, 4e6).Draw(t, "micros"),
+		Bytes:  rapid.IntRange(0, 400).Draw(t, "bytes"),
+		Kill:   rapid.IntRange(0, 9).Draw(t, "kill") == 0,
 	}
 }), 10, 60)
 
@@ -255,8 +256,8 @@
 	found := map[string]*record{}
 	for _, rec := range pending {
 		found[rec.ID] = rec
-		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline, inDoubtSince: rec.InDoubtSince,
-			notice: rec.Notice}
+		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline,
+			inDoubtSince: rec.InDoubtSince, notice: rec.Notice}
 		if r.bug == bugForgetDoubt {
 			msg.inDoubtSince = 0
 		}
@@ -332,7 +333,8 @@
 			r.attempt(msg)
 		}
 	case stepDelivered, stepNeverRan, stepMayHaveRun:
-		if msg := r.pick(step.MessageIndex, func(msg *relayMessage) bool { return msg.inFlightSince != 0 }); msg != nil {
+		if msg := r.pick(step.MessageIndex,
+			func(msg *relayMessage) bool { return msg.inFlightSince != 0 }); msg != nil {
 			r.outcome(msg, step.Kind)
 		}
 	case stepFinish:
@@ -508,8 +510,8 @@
 func TestModelDetectsBugs(t *testing.T) {
 	const maxHistories = 3000
 	for _, bug := range []modelBug{bugReplyBeforeRecord, bugNoAttemptRecord, bugUnsafeUnrecorded, bugNoEndRecord,
-		bugNoticeBeforeRecord, bugKeepPartialWrite, bugDropPostponed, bugForgetDoubt, bugIgnoreDedupWindow, bugOtherNotice,
-		bugTruncateBeforeCompaction} {
+		bugNoticeBeforeRecord, bugKeepPartialWrite, bugDropPostponed, bugForgetDoubt, bugIgnoreDedupWindow,
+		bugOtherNotice, bugTruncateBeforeCompaction} {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := range maxHistories {
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -73,11 +73,11 @@
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + noticeHandedBack}
 		if !slices.Equal(got, want) {
-			t.Fatalf("recovered %q", got)
+			t.Fatalf("recovered messages: got %q, want those that were pending, with their state", got)
 		}
-		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 ||
-			r.InDoubtZoneIndex != 1 {
-			t.Errorf("recovered %+v", r)
+		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
+			r.Deadline != 1e15 || r.InDoubtZoneIndex != 1 {
+			t.Errorf("recovered message b: got %+v, want the values it was accepted with and InDoubtZoneIndex 1", r)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		"torn head":      {func(b []byte) []byte { return b[:sizes[1]+6] }, "ab"},
 		"body damaged":   {func(b []byte) []byte { b[sizes[1]-2] ^= 1; return b }, "ac"},
 		"length damaged": {func(b []byte) []byte { b[sizes[0]+4] ^= 0x7f; return b }, "ac"},
-		"mark damaged":   {func(b []byte) []byte { b[start] ^= 1; return b }, "bc"},
+		"marker damaged": {func(b []byte) []byte { b[start] ^= 1; return b }, "bc"},
 		"clock damaged":  {func(b []byte) []byte { b[0] ^= 1; return b }, "abc"},
 		"clock cut off":  {func(b []byte) []byte { return b[start/2:] }, "abc"},
 		"noise before":   {func(b []byte) []byte { return append([]byte("noise"), b...) }, "abc"},
@@ -128,11 +128,11 @@
 			}
 			w, pending := openTestWAL(t, dir, 1<<20)
 			if got := ids(pending); got != test.want {
-				t.Fatalf("recovered %q, want %q", got, test.want)
+				t.Fatalf("recovered messages: got %q, want %q", got, test.want)
 			}
 			mustAppend(t, w, acceptedRecord("z", "Z"))
 			if _, pending = openTestWAL(t, dir, 1<<20); ids(pending) != test.want+"z" {
-				t.Errorf("recovered %q after z was written, want z and all before", ids(pending))
+				t.Errorf("recovered messages after z was written: got %q, want z and all before", ids(pending))
 			}
 		})
 	}
@@ -162,17 +162,18 @@
 		mustAppend(t, w, &record{Kind: recordAttempt, ID: id, At: clock.Instant(round) + 1},
 			&record{Kind: recordOutcome, ID: id, MayHaveRun: true})
 		if w.size+w.reservedBytes > limit {
-			t.Fatalf("round %d: the log has %d bytes and a compaction adds %d, above the limit", round, w.size, w.reservedBytes)
+			t.Fatalf("round %d: the log has %d bytes and a compaction adds %d, above the limit", round, w.size,
+				w.reservedBytes)
 		}
 	}
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.size {
-		t.Fatalf("file is %v, want %d bytes, err %v", info, w.size, err)
+		t.Fatalf("log file: got %v, want %d bytes, error %v", info, w.size, err)
 	}
 	for i := range count {
 		mustAppend(t, w, &record{Kind: recordEnd, ID: strconv.Itoa(i)})
 	}
 	if w.reservedBytes != 0 {
-		t.Errorf("%d bytes are reserved without a message, want 0", w.reservedBytes)
+		t.Errorf("reserved bytes without a message: got %d, want 0", w.reservedBytes)
 	}
 	mustAppend(t, w, acceptedRecord("next", body))
 }
@@ -187,7 +188,8 @@
 		strings.Repeat("f", maxZoneNameBytes)
 	text, err := rec.encode(nil)
 	if err != nil || int64(len(text)) > reservedRecordBytes(rec) {
-		t.Errorf("record takes %d bytes, %d are reserved, err %v", len(text), reservedRecordBytes(rec), err)
+		t.Errorf("record size: got %d bytes, want at most the %d reserved ones, error %v", len(text),
+			reservedRecordBytes(rec), err)
 	}
 }
 
@@ -207,11 +209,12 @@
 		t.Errorf("attempt of the refused message: got error %v, want that it is not pending", err)
 	}
 	if _, pending := openTestWAL(t, dir, 1<<20); len(pending) != 1 {
-		t.Errorf("recovered %d messages, want 1", len(pending))
+		t.Errorf("recovered messages: got %d, want 1", len(pending))
 	}
 }
 
-// FuzzReplay: a valid record after arbitrary bytes is recovered, and converted deadlines stay within the class's.
+// FuzzReplay: a valid record after arbitrary bytes is recovered, and no converted deadline is later than its class
+// allows.
 func FuzzReplay(f *testing.F) {
 	valid, err := acceptedRecord("a", "A").encode(nil)
 	if err != nil {
@@ -230,8 +233,9 @@
 		w.convertToOwnClock(now, "log")
 		for id, l := range w.pending {
 			if rules := l.rec.Rules; rules != nil && rules.Deadline > 0 && rules.Deadline < 1e12 &&
-				w.replayClock.reading.BootID != now.BootID && l.rec.Deadline > now.Now+clock.Instant(maxDeadlineFactor*rules.Deadline) {
-				t.Errorf("%q: deadline %d is later than its class allows", id, l.rec.Deadline)
+				w.replayClock.reading.BootID != now.BootID &&
+				l.rec.Deadline > now.Now+clock.Instant(maxDeadlineFactor*rules.Deadline) {
+				t.Errorf("message %q: got deadline %d, want at most that of its class", id, l.rec.Deadline)
 			}
 		}
 	})
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -31,7 +31,7 @@
 	err     string
 }
 
-func (p *endedWatchLog) Handle(_ context.Context, r slog.Record) error {
+func (l *endedWatchLog) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != "discovery: watch ended" {
 		return nil
 	}
@@ -45,16 +45,16 @@
 		}
 		return true
 	})
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.watches = append(p.watches, watch)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.watches = append(l.watches, watch)
 	return nil
 }
 
-func (p *endedWatchLog) ended() []endedWatch {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]endedWatch(nil), p.watches...)
+func (l *endedWatchLog) ended() []endedWatch {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]endedWatch(nil), l.watches...)
 }
 
 // scriptedAgent starts an agent that calls serve for each request. Requests are numbered from 0 over all connections.
@@ -191,7 +191,7 @@
 	}
 	d.knownBy = d.clock.Now().Add(-time.Second)
 	if d.refusalDelay(6, 0.5) != d.backoffDelay(6, 0.5) || d.nextRequestDelay(0, 0) != minResponseWait {
-		t.Errorf("after knownBy: got refusal delay %v and next request after %v, want the plain backoff and minResponseWait",
+		t.Errorf("after knownBy: got refusal delay %v, next request after %v, want backoff and minResponseWait",
 			d.refusalDelay(6, 0.5), d.nextRequestDelay(0, 0))
 	}
 }
