--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -13,10 +13,10 @@
 // relay is one simulated relay.
 type relay struct {
 	policy *decide.Policy
-	// leftField and limitField are the indexes of the load values in a report; -1 if a report has none.
-	leftField, limitField int
-	events                []decide.Event // of the current batch
-	pending               bool           // events are waiting for a step of the policy
+	// remainingField and limitField are the indexes of the load values in a report; -1 if a report has none.
+	remainingField, limitField int
+	events                     []decide.Event // of the current batch
+	pending                    bool           // events are waiting for a step of the policy
 }
 
 // host holds the relays of one simulation, which are independent of each other, and the lists that they share.
@@ -113,8 +113,8 @@
 
 // outcomes maps a status code to the outcome of an attempt or a probe.
 var outcomes = map[uint8]decide.Outcome{wire.StatusOK: decide.Delivered, wire.StatusError: decide.Errored,
-	wire.StatusFull: decide.Rejected, wire.StatusTimeout: decide.TimedOut,
-	wire.StatusNoConnection: decide.ConnectFailed, wire.StatusReset: decide.Reset,
+	wire.StatusRejected: decide.Rejected, wire.StatusTimeout: decide.TimedOut,
+	wire.StatusConnectFailed: decide.ConnectFailed, wire.StatusReset: decide.Reset,
 	wire.StatusCancelled: decide.Cancelled, wire.StatusNotSent: decide.NotSent}
 
 // listUpdates maps the kind of a list update to that of package decide.
@@ -125,9 +125,9 @@
 // event for it.
 func (h *host) policyEvent(r *relay, record *wire.Event) (decide.Event, bool) {
 	event := decide.Event{Message: record.MessageID, Endpoint: decide.Endpoint(record.Endpoint),
-		Attempt: int(record.Attempt), Duration: decide.Time(record.Duration), Outcome: outcomes[record.Status]}
+		Attempt: int(record.Attempt), Elapsed: decide.Time(record.Elapsed), Outcome: outcomes[record.Status]}
 	if record.ReportLen > 0 {
-		event.Load = decide.Load{Remaining: reportValue(record, r.leftField),
+		event.Load = decide.Load{Remaining: reportValue(record, r.remainingField),
 			Limit: reportValue(record, r.limitField)}
 	}
 	switch record.Code {
@@ -146,12 +146,12 @@
 	case wire.EvResponseStarted:
 		event.Kind = decide.EvResponseStarted
 	case wire.EvOutcome:
-		event.Kind, event.Final = decide.EvOutcome, record.Final
+		event.Kind, event.Settled = decide.EvOutcome, record.Settled
 		switch event.Outcome {
 		case decide.Rejected:
 			event.RetryAfter = decide.Time(record.StatusDetail) * 1000
 		case decide.NotSent:
-			event.NoFreeSlot = record.StatusDetail == 1
+			event.SlotsTaken = record.StatusDetail == 1
 		}
 	case wire.EvWithdraw:
 		event.Kind = decide.EvWithdraw
@@ -219,11 +219,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &relay{policy: policy, leftField: -1, limitField: -1}
+	r := &relay{policy: policy, remainingField: -1, limitField: -1}
 	for i, field := range parsed.Report.Fields {
 		switch field {
 		case "x0":
-			r.leftField = i
+			r.remainingField = i
 		case "x1":
 			r.limitField = i
 		}
--- a/decide/api.go
+++ b/decide/api.go
@@ -117,8 +117,8 @@
 	StartCapacity float64
 	// RampTime is the time after an outage by which a destination has its full capacity again.
 	RampTime Time
-	// OverloadFactor is the multiple of its current capacity that makes a recovering destination fail again
-	// if it is sent more than that for OverloadTime.
+	// OverloadFactor limits the calls to a recovering destination as a multiple of its current capacity. More
+	// calls than that over OverloadTime make it fail again.
 	OverloadFactor float64
 	// OverloadTime is how long a recovering destination withstands calls beyond OverloadFactor.
 	OverloadTime Time
@@ -204,14 +204,14 @@
 	EvMessage
 	// EvResponseStarted says that the response to an attempt has begun to arrive: Message, Attempt.
 	EvResponseStarted
-	// EvOutcome is the end of an attempt: Message, Attempt, Endpoint, Outcome, RetryAfter, NoFreeSlot,
-	// NoFreeConnection, Duration, Final, Load.
+	// EvOutcome is the end of an attempt: Message, Attempt, Endpoint, Outcome, RetryAfter, SlotsTaken,
+	// TooManyConns, Elapsed, Settled, Load.
 	EvOutcome
 	// EvWithdraw says that the client no longer wants the message: Message.
 	EvWithdraw
 	// EvTimer says that a timer has fired: Token.
 	EvTimer
-	// EvProbeResult is the result of a probe: Endpoint, Outcome, Duration, Load.
+	// EvProbeResult is the result of a probe: Endpoint, Outcome, Elapsed, Load.
 	EvProbeResult
 	// EvSettings replaces the settings for messages that arrive from here on: Settings.
 	EvSettings
@@ -305,19 +305,19 @@
 	Kind    EventKind
 	List    ListUpdate
 	Outcome Outcome
-	// Final is set by EvOutcome when the message needs no further attempt and no further reply.
-	Final bool
-	// NoFreeSlot is set by EvOutcome with NotSent when all slots were taken.
-	NoFreeSlot bool
-	// NoFreeConnection is set by EvOutcome with Rejected when the endpoint had no connection free; this says
+	// Settled is set by EvOutcome when the message needs no further attempt and no further reply.
+	Settled bool
+	// SlotsTaken is set by EvOutcome with NotSent when all slots were taken.
+	SlotsTaken bool
+	// TooManyConns is set by EvOutcome with Rejected when the endpoint had no connection free; this says
 	// nothing about the rate limit of the destination.
-	NoFreeConnection bool
-	Attempt          int
-	Class            int
-	Dest             int
-	Tenant           int
-	Message          uint32
-	Endpoint         Endpoint
+	TooManyConns bool
+	Attempt      int
+	Class        int
+	Dest         int
+	Tenant       int
+	Message      uint32
+	Endpoint     Endpoint
 	// Key is the ordering key of the message; 0 means none.
 	Key   uint64
 	Token uint64
@@ -327,10 +327,10 @@
 	EstimatedCost Time
 	// RetryAfter is the time for which the endpoint asked not to be called; 0 means none.
 	RetryAfter Time
-	// Duration is how long the attempt or the probe took.
-	Duration Time
-	Load     Load
-	Entries  []Entry
+	// Elapsed is how long the attempt or the probe took.
+	Elapsed Time
+	Load    Load
+	Entries []Entry
 
 	// Attempts is set for a message that a predecessor process accepted: the number of its attempts so far.
 	Attempts int
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -23,8 +23,8 @@
 	extraOutageLoad float64
 	// load is the rate of the calls that the messages need, as a share of rate; 0 for coldLoad.
 	load float64
-	// restartTimes are times since the start of the outage. At each of them restartedShare of the relays, drawn anew,
-	// restart.
+	// restartTimes are times within the outage, counted from its start. At each of them restartedShare of the relays,
+	// drawn anew, restart.
 	restartTimes []Time
 	// slowStart overrides the default slow-start settings unless it is zero.
 	slowStart slowStartSettings
@@ -105,24 +105,24 @@
 func maxColdCallsTight(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // slowStartOrDefault returns the slow-start settings of the scenario, or the default ones.
-func (d coldScenario) slowStartOrDefault() slowStartSettings {
-	if d.slowStart == (slowStartSettings{}) {
+func (c coldScenario) slowStartOrDefault() slowStartSettings {
+	if c.slowStart == (slowStartSettings{}) {
 		return slowStartSettings{startCapacity: coldStartCapacity, rampTime: coldRampTime,
 			overloadTime: coldOverloadTime, overloadFactor: 2}
 	}
-	return d.slowStart
+	return c.slowStart
 }
 
 // allowedCalls returns how many calls the settings allow in an overload time, at a time since the outage ended.
-func (d coldScenario) allowedCalls(since Time) float64 {
-	settings := d.slowStartOrDefault()
+func (c coldScenario) allowedCalls(since Time) float64 {
+	settings := c.slowStartOrDefault()
 	share := min(1, settings.startCapacity+
 		(1-settings.startCapacity)*float64(max(since, 0))/float64(settings.rampTime))
-	return settings.overloadFactor * share * d.rate * float64(settings.overloadTime) / float64(second)
+	return settings.overloadFactor * share * c.rate * float64(settings.overloadTime) / float64(second)
 }
 
 // addWindow counts the window that ends at the given time since the outage ended; calls are those made in it.
-func (c *windowCounts) addWindow(d coldScenario, since Time, calls []coldCall) {
+func (c *windowCounts) addWindow(scenario coldScenario, since Time, calls []coldCall) {
 	calledInOutage, sawFailure := 0, 0
 	for _, x := range calls {
 		if x.calledInOutage {
@@ -132,9 +132,9 @@
 			sawFailure++
 		}
 	}
-	atEnd, atBegin := maxColdCalls(d.allowedCalls(since)),
-		maxColdCalls(d.allowedCalls(since-d.slowStartOrDefault().overloadTime))
-	tight := maxColdCallsTight(d.allowedCalls(since))
+	atEnd, atBegin := maxColdCalls(scenario.allowedCalls(since)),
+		maxColdCalls(scenario.allowedCalls(since-scenario.slowStartOrDefault().overloadTime))
+	tight := maxColdCallsTight(scenario.allowedCalls(since))
 	c.windows++
 	c.worstTight = max(c.worstTight, float64(calledInOutage)/tight)
 	c.worstEnd = max(c.worstEnd, float64(calledInOutage)/atEnd)
@@ -166,21 +166,21 @@
 )
 
 // coldPolicySettings returns the settings of the policies in a scenario.
-func coldPolicySettings(d coldScenario) Settings {
+func coldPolicySettings(scenario coldScenario) Settings {
 	s := defaultSettings()
-	s.Relays, s.MaxHeld, s.Slots = d.relays, 1000, 60
-	slowStart := d.slowStartOrDefault()
+	s.Relays, s.MaxHeld, s.Slots = scenario.relays, 1000, 60
+	slowStart := scenario.slowStartOrDefault()
 	s.StartCapacity, s.RampTime, s.OverloadTime, s.OverloadFactor = slowStart.startCapacity,
 		slowStart.rampTime, slowStart.overloadTime, slowStart.overloadFactor
-	s.Kinds = []DestKind{{MaxBatch: max(d.maxBatch, 1)}}
+	s.Kinds = []DestKind{{MaxBatch: max(scenario.maxBatch, 1)}}
 	s.ParallelAttempts = true
-	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = d.idempotency, 10*second
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = scenario.idempotency, 10*second
 	return s
 }
 
 // run runs the scenario. At each step of the ramp it compares the calls of the last overload time with what the
 // settings allow and the allowance for chance. A call is delivered after 90 ms, or fails during the outage.
-func (d coldScenario) run(t testing.TB, seed uint64) windowCounts {
+func (c coldScenario) run(t testing.TB, seed uint64) windowCounts {
 	t.Helper()
 	type relay struct {
 		policy         *Policy
@@ -192,20 +192,20 @@
 		calledInOutage bool // as in coldCall
 		sawFailure     bool // as in coldCall
 	}
-	s := coldPolicySettings(d)
+	s := coldPolicySettings(c)
 	rng := rand.New(rand.NewPCG(11, seed))
-	relays := make([]*relay, d.relays)
+	relays := make([]*relay, c.relays)
 	startRelay := func(i int, restartNumber uint64) *relay {
 		p, err := New(s, seed*1000003+uint64(i)*7+restartNumber)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return &relay{policy: p, nextMessage: uint32(restartNumber)*10000 + 1, attempts: map[uint32]int{},
-			events: []Event{{Kind: EvList, List: ListCached, Entries: []Entry{readyEntry(1, d.rate)}}}}
+			events: []Event{{Kind: EvList, List: ListCached, Entries: []Entry{readyEntry(1, c.rate)}}}}
 	}
 	for i := range relays {
 		relays[i] = startRelay(i, 0)
-		relays[i].unaware = float64(i) < d.unawareShare*float64(d.relays)
+		relays[i].unaware = float64(i) < c.unawareShare*float64(c.relays)
 	}
 	type reply struct {
 		relay *relay
@@ -217,15 +217,15 @@
 	var calls []coldCall // since the outage ended
 	windowStart := 0
 	var counts windowCounts
-	slowStart := d.slowStartOrDefault()
+	slowStart := c.slowStartOrDefault()
 	for step := 0; ; step++ {
 		now := 1000*second + Time(step)*coldTick
 		if now > outageEnd+slowStart.rampTime {
 			break
 		}
-		if now == outageEnd && len(d.restartTimes) == 0 || slices.Contains(d.restartTimes, now-outageStart) {
+		if now == outageEnd && len(c.restartTimes) == 0 || slices.Contains(c.restartTimes, now-outageStart) {
 			for i := range relays {
-				if rng.Float64() >= d.restartedShare {
+				if rng.Float64() >= c.restartedShare {
 					continue
 				}
 				old := relays[i]
@@ -233,7 +233,7 @@
 				relays[i] = startRelay(i, restartCount)
 				relays[i].unaware, relays[i].calledInOutage, relays[i].sawFailure = old.unaware, old.calledInOutage,
 					old.sawFailure
-				if d.restoresOutages {
+				if c.restoresOutages {
 					snapshot := &Snapshot{}
 					for endpoint := range old.policy.endpoints {
 						if outage, ok := old.policy.Outage(endpoint); ok {
@@ -253,11 +253,11 @@
 				}
 			}
 		}
-		load := cmp.Or(d.load, coldLoad)
+		load := cmp.Or(c.load, coldLoad)
 		if now >= outageStart && now < outageEnd {
-			load += d.extraOutageLoad
+			load += c.extraOutageLoad
 		}
-		for n := load * d.rate * float64(max(d.maxBatch, 1)) * float64(coldTick) / float64(second); n > 0; n-- {
+		for n := load * c.rate * float64(max(c.maxBatch, 1)) * float64(coldTick) / float64(second); n > 0; n-- {
 			if rng.Float64() < n {
 				r := relays[rng.IntN(len(relays))]
 				if r.unaware && now > outageStart-second && now < outageEnd {
@@ -292,24 +292,24 @@
 					}
 				case ActSend:
 					e := outcomeEvent(a, Delivered)
-					e.Attempt, e.Duration = r.attempts[a.Message], 90000
+					e.Attempt, e.Elapsed = r.attempts[a.Message], 90000
 					r.attempts[a.Message]++
 					if now >= outageStart && now < outageEnd {
-						e.Outcome, e.Final, e.Duration = ConnectFailed, false, 0
+						e.Outcome, e.Settled, e.Elapsed = ConnectFailed, false, 0
 						if a.Message%2 == 0 { // half of the calls time out, half cannot connect
-							e.Outcome, e.Duration = TimedOut, a.TimeoutAt-now
+							e.Outcome, e.Elapsed = TimedOut, a.TimeoutAt-now
 						}
 					}
-					if e.Final {
+					if e.Settled {
 						counts.delivered++
 					}
-					repliedAtStep := step + int(max(e.Duration, coldTick)/coldTick)
+					repliedAtStep := step + int(max(e.Elapsed, coldTick)/coldTick)
 					due[repliedAtStep] = append(due[repliedAtStep], reply{r, e})
 					// The messages of a call count once.
 					if r.calledInOutage = r.calledInOutage || e.Outcome != Delivered; now >= outageEnd && !called {
 						calls = append(calls, coldCall{at: now, calledInOutage: r.calledInOutage,
 							sawFailure: r.sawFailure})
-						called = d.maxBatch > 1
+						called = c.maxBatch > 1
 					}
 				}
 			}
@@ -318,7 +318,7 @@
 			for windowStart < len(calls) && calls[windowStart].at <= now-slowStart.overloadTime {
 				windowStart++
 			}
-			counts.addWindow(d, now-outageEnd, calls[windowStart:])
+			counts.addWindow(c, now-outageEnd, calls[windowStart:])
 		}
 	}
 	return counts
@@ -340,11 +340,11 @@
 			t.Parallel()
 			for _, relays := range []int{3, 20, 30, 300} {
 				for _, rate := range []float64{6, 20, 60} {
-					d := scenario
-					d.relays, d.rate = relays, rate
+					c := scenario
+					c.relays, c.rate = relays, rate
 					var sum windowCounts
 					for seed := range uint64(seeds) {
-						sum.add(d.run(t, seed))
+						sum.add(c.run(t, seed))
 					}
 					line := fmt.Sprintf(
 						"%d relays, %v calls a second: %d of %d windows over the limit, highest %.2f, delivered %.2f",
@@ -414,8 +414,8 @@
 						b.ReportMetric(sum.worstBegin, "worst-begin")
 						b.ReportMetric(sum.windowShare(sum.overEnd), "over-end")
 						b.ReportMetric(sum.worstEnd, "worst-end")
-						b.ReportMetric(sum.windowShare(sum.repeatedFailures), "broken")
-						b.ReportMetric(sum.deliveredShare(), "served")
+						b.ReportMetric(sum.windowShare(sum.repeatedFailures), "repeated-failures")
+						b.ReportMetric(sum.deliveredShare(), "delivered")
 						b.ReportMetric(0, "ns/op")
 					})
 			}
@@ -434,28 +434,28 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, size := range coldFleetSizes {
-				d := scenario
-				d.slowStart, d.relays = steepRamp, size.relays
+				c := scenario
+				c.slowStart, c.relays = steepRamp, size.relays
 				rates := size.rates
-				if d.maxBatch > 1 { // scenarios with batches take long to run
+				if c.maxBatch > 1 { // scenarios with batches take long to run
 					rates = rates[len(rates)-1:]
 				}
 				var sum windowCounts
-				for _, d.rate = range rates {
+				for _, c.rate = range rates {
 					for seed := range size.seeds {
-						sum.add(d.run(t, seed))
+						sum.add(c.run(t, seed))
 					}
 				}
 				allowed := 0.0
-				if d.relays > 30 {
+				if c.relays > 30 {
 					allowed = maxShareByChance
 				}
 				overShare := sum.windowShare(sum.overBegin)
-				t.Logf("%d relays: %.4f of windows over the limit, highest %.2f, repeated failures %.4f, served %.2f",
-					d.relays, overShare, sum.worstBegin, sum.windowShare(sum.repeatedFailures), sum.deliveredShare())
+				t.Logf("%d relays: %.4f of windows over the limit, worst %.2f, repeated failures %.4f, delivered %.2f",
+					c.relays, overShare, sum.worstBegin, sum.windowShare(sum.repeatedFailures), sum.deliveredShare())
 				if overShare > allowed || sum.overSawFailure > 0 || sum.overEnd > 0 || sum.deliveredShare() < 0.1 {
 					t.Errorf("%d relays: %.4f of windows over the limit at the beginning, %d by aware relays, "+
-						"%d at the end, delivered %.2f", d.relays, overShare, sum.overSawFailure, sum.overEnd,
+						"%d at the end, delivered %.2f", c.relays, overShare, sum.overSawFailure, sum.overEnd,
 						sum.deliveredShare())
 				}
 			}
--- a/decide/concurrency.go
+++ b/decide/concurrency.go
@@ -13,9 +13,9 @@
 	maxSlotShare = 0.75
 	// maxSlotShareFailing is the same while calls to the destination fail.
 	maxSlotShareFailing = 0.5
-	// rejectionDecrease is the part of the rate factor that a rejection takes from a single relay. With
-	// many relays it grows with their number to the power of rejectionDecreaseExponent, since each sees few
-	// of the rejections; it is at most minRateFactor.
+	// rejectionDecrease is the part of the rate factor that a rejection takes away where there is one relay.
+	// It grows with the number of relays to the power of rejectionDecreaseExponent, since each of many sees
+	// few of the rejections; it is at most minRateFactor.
 	rejectionDecrease = 0.2
 	// rejectionDecreaseExponent is the exponent of that growth.
 	rejectionDecreaseExponent = 0.2
@@ -32,14 +32,15 @@
 	// maxRateShare is the limit of that share as a multiple of an even one, since the excess of many relays
 	// adds up.
 	maxRateShare = 1.4
-	// maxLowRateShare is the limit, as a multiple of an even share, where the even share is so small that
-	// chance alone exceeds it.
+	// maxLowRateShare takes the place of maxRateShare where an even share is so small that the random
+	// variation of the calls alone exceeds maxRateShare.
 	maxLowRateShare = 1.6
 	// burstDeviations is how many standard deviations of its own traffic a relay may send at once.
 	burstDeviations = 1.65
 	// nonIdempotentWaitFactor multiplies the wait for a call of non-idempotent messages under slot pressure.
 	nonIdempotentWaitFactor = 4
-	// scarceConnectionShare is the share of calls without a connection at which connections become scarce.
+	// scarceConnectionShare is the share of calls without a connection above which connections count as
+	// scarce.
 	scarceConnectionShare = 0.05
 	// noConnectionSampleCalls is the number of calls over which that share is averaged.
 	noConnectionSampleCalls = 20
@@ -113,8 +114,8 @@
 }
 
 // markOverdue removes a call that is in flight for longer than usual from the window and counts it as timed
-// out. The relay still waits for a non-idempotent message, which cannot be retried, but a call without a
-// response must not block the window for all others. The call keeps its slot.
+// out. The relay still waits for the response to a non-idempotent message, which cannot be retried, but a
+// call without a response must not block the window for all others. The call keeps its slot.
 func (p *Policy) markOverdue(c *call) {
 	if c.remaining == 0 {
 		return
@@ -128,10 +129,10 @@
 }
 
 // cancelUnderSlotPressure cancels a call after its usual maximum latency if for that long every slot has
-// been taken and messages have waited: a timeout at the target time suits a slot that no message needs, not
-// the last one. It guards against single calls that hang where others finish, and against many slow calls
-// at once. The cost is that work which is nearly done is repeated. A non-idempotent message, which has no
-// retry, is given longer.
+// been taken and messages have waited: a timeout at the target time suits a slot that no message needs, but
+// not the last free one. It guards against single calls that hang where others finish, and against many slow
+// calls at once. The cost is that work which is nearly done is repeated. A non-idempotent message, which has
+// no retry, is given longer.
 func (p *Policy) cancelUnderSlotPressure(c *call) {
 	wait := p.usualMaxLatency(c.endpoint) + 1
 	if c.messages[0].class.Idempotency == NonIdempotent {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -5,6 +5,9 @@
 // (dispatch.go) within the limits of throttle.go, concurrency.go and slowstart.go, and handles the outcomes
 // (outcome.go, outlier.go, retry.go). membership.go applies updates of the list, held.go evicts idle
 // destinations, and memory.go takes and restores snapshots. containers.go holds plain data structures.
+//
+// In comments, a wait is the time for which an endpoint asked not to be called (Retry-After), and a round is
+// the time in which each relay sends one call at the capacity of a limiter (see roundSeconds).
 package decide
 
 import (
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -83,7 +83,7 @@
 // outcomeEvent returns the event of the given outcome of a send.
 func outcomeEvent(a Action, outcome Outcome) Event {
 	return Event{Kind: EvOutcome, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: outcome,
-		Duration: second / 10, Final: outcome == Delivered}
+		Elapsed: second / 10, Settled: outcome == Delivered}
 }
 
 func TestThrottleProbability(t *testing.T) {
@@ -320,7 +320,7 @@
 	r := newPolicyRunner(t, defaultSettings(), readyEntry(1, 1000))
 	r.step(r.messageEvent(0, 0))
 	e := outcomeEvent(r.sends[0], Delivered)
-	e.Duration = 1000
+	e.Elapsed = 1000
 	r.now += 1000
 	r.step(e)
 	r.step(r.messageEvent(0, 0))
@@ -475,7 +475,7 @@
 		var failed []Event
 		for _, a := range r.sends {
 			e := outcomeEvent(a, ConnectFailed)
-			e.Attempt, e.Duration = sent, 0
+			e.Attempt, e.Elapsed = sent, 0
 			failed = append(failed, e)
 			sent++
 		}
@@ -580,7 +580,7 @@
 	r.step(r.messageEvent(0, 0), r.messageEvent(0, 0), r.messageEvent(0, 0))
 	r.now += second / 10
 	ended := outcomeEvent(r.sends[0], NotSent)
-	ended.Final = true
+	ended.Settled = true
 	r.step(ended, outcomeEvent(r.sends[1], Delivered), outcomeEvent(r.sends[2], Delivered))
 	if requests, accepts := r.policy.endpoints[1].limiter.history.totals(r.now); requests != 1 || accepts != 1 {
 		t.Errorf("got %v requests and %v accepts, want 1 and 1", requests, accepts)
@@ -822,8 +822,8 @@
 	}
 }
 
-// TestShedsLatestDispatch checks that when nearly MaxHeld messages are held, one for the destination that can be sent
-// to latest is handed back, not the next one to arrive.
+// TestShedsLatestDispatch checks that when nearly MaxHeld messages are held, a message for the destination whose next
+// call is farthest in the future is handed back, rather than the next message that arrives.
 func TestShedsLatestDispatch(t *testing.T) {
 	s := defaultSettings()
 	s.MaxHeld = 16
@@ -1022,7 +1022,7 @@
 				id := uint32(i + 1)
 				actions = p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: i % n, TimeLeft: 20 * second}},
 					actions[:0])
-				actions = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Final: true, Duration: 1000}},
+				actions = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Settled: true, Elapsed: 1000}},
 					actions[:0])
 			}
 		})
--- a/decide/dispatch.go
+++ b/decide/dispatch.go
@@ -84,13 +84,13 @@
 // canDispatch reports whether some limiter of a destination allows a call, without regard to its endpoints.
 // If none does, sorting the queue would be wasted.
 func (p *Policy) canDispatch(d *destination) bool {
-	can := false
+	allowed := false
 	for _, l := range d.limiters { // no early exit: hasToken marks limiters whose rate delays a call
 		if p.hasConcurrency(l) && p.hasToken(l) {
-			can = true
+			allowed = true
 		}
 	}
-	return can
+	return allowed
 }
 
 // nextDispatchAt returns the next time at which a call to a destination may become possible without any
@@ -99,23 +99,23 @@
 	p.nextDispatchScans++
 	next := Time(math.MaxInt64)
 	for _, l := range d.limiters {
-		limiterOpensAt := max(l.backoffUntil, l.retryAfterUntil,
+		limiterReadyAt := max(l.backoffUntil, l.retryAfterUntil,
 			l.bucket.availableAt(p.now, 1, p.sendRate(l), p.burst(l)))
 		for _, ep := range l.endpoints {
-			opensAt := max(limiterOpensAt, ep.backoffUntil)
+			readyAt := max(limiterReadyAt, ep.backoffUntil)
 			if ep.ejected {
 				rate, burst := p.budgetRate(ep)
-				opensAt = max(opensAt,
+				readyAt = max(readyAt,
 					ep.budget.availableAt(p.now, ep.nextCallCost, rate, max(burst, ep.nextCallCost)))
 			}
-			if opensAt > p.now {
-				next = min(next, opensAt)
+			if readyAt > p.now {
+				next = min(next, readyAt)
 			}
 		}
 	}
 	for _, m := range d.queue {
-		if l := p.orderedKeys[m.key]; l != nil && m.class.InOrder && l.pausedUntil > p.now {
-			next = min(next, l.pausedUntil)
+		if key := p.orderedKeys[m.key]; key != nil && m.class.InOrder && key.pausedUntil > p.now {
+			next = min(next, key.pausedUntil)
 		}
 		// From its target time on a non-idempotent message may use an ejected endpoint.
 		if m.class.Idempotency == NonIdempotent && m.targetAt >= p.now {
@@ -155,7 +155,7 @@
 			if ep.zone != p.settings.Zone {
 				cost *= 1.5
 			}
-			if draw > 0 { // random, in seconds of one call at the limiter's capacity
+			if draw > 0 { // its mean is the time between two calls at the limiter's capacity
 				cost = draw * float64(second)
 			}
 			if m.failedEndpoint == ep { // another endpoint may succeed, whatever the cause
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -33,7 +33,7 @@
 	}
 	now += second / 5
 	actions = p.Step(now, []decide.Event{{Kind: decide.EvOutcome, Message: 1, Attempt: 0, Endpoint: 7,
-		Outcome: decide.Delivered, Final: true, Duration: second / 5}}, actions[:0])
+		Outcome: decide.Delivered, Settled: true, Elapsed: second / 5}}, actions[:0])
 	fmt.Println("remaining actions:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -6,8 +6,9 @@
 )
 
 // runFleet runs the policies of many relays against one destination that accepts rate calls a second from all of them,
-// and where a rejected call uses up as much of the rate as an accepted one. arrivals gives the messages a second at a
-// time in seconds. It returns the number of messages, of accepted calls and of rejected calls.
+// and where a rejected call uses up as much of the rate as an accepted one. arrivals returns the messages that arrive
+// per second; its argument is the time in seconds since the start. runFleet returns the numbers of messages, of
+// accepted calls and of rejected calls.
 func runFleet(t *testing.T, seed uint64, relays int, rate float64,
 	arrivals func(at float64) float64) (arrived, accepted, rejected int) {
 	t.Helper()
@@ -59,7 +60,7 @@
 					accepted++
 				}
 				tokens--
-				e.Duration, e.Load = 90000, Load{Remaining: max(tokens, 0) / burst, Limit: rate}
+				e.Elapsed, e.Load = 90000, Load{Remaining: max(tokens, 0) / burst, Limit: rate}
 				e.Attempt = r.attempts[a.Message]
 				r.attempts[a.Message]++
 				r.due[(step+9)%10] = append(r.due[(step+9)%10], e)
@@ -219,7 +220,7 @@
 				p.observe(&call{endpoint: p.endpoints[Endpoint(i+1)], sentAt: now,
 					messages: []*message{{class: &p.settings.Classes[0]}}},
 					&Event{Kind: EvOutcome, Outcome: map[bool]Outcome{true: Delivered, false: Rejected}[c.accepted],
-						Duration: second / 10})
+						Elapsed: second / 10})
 			}
 			calls += countActions(p.Step(now, []Event{{Kind: EvMessage, Message: 1, Dest: 8, TimeLeft: 9 * second}},
 				nil), ActSend)
@@ -325,7 +326,7 @@
 		r.policy.now = r.now
 		r.policy.observe(&call{endpoint: ep, sentAt: r.now - second/10,
 			messages: []*message{{class: &r.policy.settings.Classes[0]}}},
-			&Event{Kind: EvOutcome, Outcome: Rejected, NoFreeConnection: true})
+			&Event{Kind: EvOutcome, Outcome: Rejected, TooManyConns: true})
 	}
 	if ep.ejected || ep.failureScore > 0 || l.window != 4 || l.rateFactor != 1 || l.rejectionRun != 0 ||
 		l.nominalRate != 0 {
--- a/decide/held.go
+++ b/decide/held.go
@@ -172,7 +172,8 @@
 	}
 }
 
-// forgetEndpoint removes an endpoint whose observations have expired, and reports the end of any outage.
+// forgetEndpoint removes an endpoint whose observations have expired. If the endpoint still has an outage, it
+// reports the end of it: the ramp may have ended since the endpoint was last used.
 func (p *Policy) forgetEndpoint(ep *endpoint) {
 	if delete(p.endpoints, ep.id); ep.ejected || ep.suspected() {
 		p.emit(Action{Kind: ActOutage, Endpoint: ep.id})
--- a/decide/held_test.go
+++ b/decide/held_test.go
@@ -11,32 +11,32 @@
 // testDirectory is a Directory with the entries of each destination in a map.
 type testDirectory map[int][]Entry
 
-func (b testDirectory) Endpoints(dest int, into []Entry) []Entry { return append(into, b[dest]...) }
+func (d testDirectory) Endpoints(dest int, into []Entry) []Entry { return append(into, d[dest]...) }
 
 // changeRandomly makes a random change to the directory and returns the changed entries. lastEndpoint is the highest
 // endpoint in use.
-func (b testDirectory) changeRandomly(rng *rand.Rand, destinations int, lastEndpoint *Endpoint) (changed []Entry) {
+func (d testDirectory) changeRandomly(rng *rand.Rand, destinations int, lastEndpoint *Endpoint) (changed []Entry) {
 	dest := rng.IntN(destinations)
-	if len(b[dest]) == 0 || rng.IntN(4) == 0 {
+	if len(d[dest]) == 0 || rng.IntN(4) == 0 {
 		*lastEndpoint++
 		x := Entry{Endpoint: *lastEndpoint, Dest: dest, Zone: rng.IntN(2), Kind: dest % 2, State: Ready,
 			Rate: float64(1 + dest%7)}
-		b[dest] = append(b[dest], x)
+		d[dest] = append(d[dest], x)
 		return []Entry{x}
 	}
-	at := rng.IntN(len(b[dest]))
-	x := b[dest][at]
+	at := rng.IntN(len(d[dest]))
+	x := d[dest][at]
 	switch x.State = EndpointState(rng.IntN(3)); {
 	case x.State == Removed:
-		b[dest] = slices.Delete(slices.Clone(b[dest]), at, at+1)
+		d[dest] = slices.Delete(slices.Clone(d[dest]), at, at+1)
 	case rng.IntN(6) == 0: // it moves to another destination
-		b[dest] = slices.Delete(slices.Clone(b[dest]), at, at+1)
+		d[dest] = slices.Delete(slices.Clone(d[dest]), at, at+1)
 		x.Dest = (dest + 2) % destinations
 		x.Rate = float64(1 + x.Dest%7)
-		b[x.Dest] = append(b[x.Dest], x)
+		d[x.Dest] = append(d[x.Dest], x)
 	default:
-		b[dest] = slices.Clone(b[dest])
-		b[dest][at] = x
+		d[dest] = slices.Clone(d[dest])
+		d[dest][at] = x
 	}
 	return []Entry{x}
 }
@@ -120,7 +120,7 @@
 				continue
 			}
 			e := Event{Kind: EvOutcome, Message: a.Message, Attempt: attempts[a.Message], Endpoint: a.Endpoint,
-				Duration: second / 10}
+				Elapsed: second / 10}
 			attempts[a.Message]++
 			at := now + Time(rng.IntN(int(second/4)))
 			dest := -1
@@ -137,7 +137,7 @@
 			case rng.IntN(12) == 0:
 				e.Outcome = Rejected
 			default:
-				e.Outcome, e.Final = Delivered, true
+				e.Outcome, e.Settled = Delivered, true
 			}
 			pending = append(pending, pendingOutcome{at, e})
 		}
@@ -182,7 +182,7 @@
 // uniformDirectory is a Directory of the given number of destinations, each with two endpoints.
 type uniformDirectory struct{ destinations int }
 
-func (w uniformDirectory) Endpoints(dest int, into []Entry) []Entry {
+func (d uniformDirectory) Endpoints(dest int, into []Entry) []Entry {
 	for i := range 2 {
 		into = append(into, Entry{Endpoint: Endpoint(2*dest + i + 1), Dest: dest, State: Ready, Rate: 1000})
 	}
@@ -213,7 +213,7 @@
 			now += second
 		}
 	}
-	send(1, Event{Outcome: Delivered, Final: true})
+	send(1, Event{Outcome: Delivered, Settled: true})
 	send(2, Event{Outcome: Rejected, RetryAfter: 500 * second})
 	send(3, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed},
 		Event{Outcome: ConnectFailed}, Event{Outcome: ConnectFailed})
@@ -317,7 +317,7 @@
 				if a.Kind == ActSend {
 					e := outcomeEvent(a, Delivered)
 					if id%10 == 0 {
-						e.Final, e.Outcome, e.RetryAfter = false, Rejected, second
+						e.Settled, e.Outcome, e.RetryAfter = false, Rejected, second
 					}
 					step(e)
 				}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -32,7 +32,7 @@
 		case ep == nil && p.directory != nil && p.destinations[entry.Dest] == nil:
 			continue // the directory is asked when a message comes
 		case ep == nil:
-			// Expired state goes first: a wait that the endpoint brings along would keep it alive.
+			// Expired state is reset first: a wait that the endpoint keeps from before would prevent that.
 			if d := p.destinations[entry.Dest]; d != nil {
 				p.resetIfExpired(d)
 			}
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -20,9 +20,9 @@
 			a := predecessor.sends[0]
 			o := outcomeEvent(a, Delivered)
 			if a.Endpoint == 8 {
-				o.Outcome, o.Final = Errored, false
+				o.Outcome, o.Settled = Errored, false
 			} else if i == 40 {
-				o.Outcome, o.Final, o.RetryAfter = Rejected, false, 30*second
+				o.Outcome, o.Settled, o.RetryAfter = Rejected, false, 30*second
 			}
 			o.Attempt = predecessor.policy.messages[a.Message].attempts - 1
 			predecessor.step(o)
@@ -77,17 +77,17 @@
 	if len(r.sends) != 0 || r.policy.callsInFlight != 3 {
 		t.Fatalf("got %d calls in flight and sends %v, want 3 and none", r.policy.callsInFlight, r.sends)
 	}
-	r.step(Event{Kind: EvOutcome, Message: 1, Endpoint: 7, Outcome: Delivered, Final: true, Duration: second / 10})
+	r.step(Event{Kind: EvOutcome, Message: 1, Endpoint: 7, Outcome: Delivered, Settled: true, Elapsed: second / 10})
 	if len(r.sends) != 0 {
 		t.Fatalf("got sends %v while the call is still in flight for its other message, want none", r.sends)
 	}
-	r.step(Event{Kind: EvOutcome, Message: 2, Endpoint: 7, Outcome: Errored, Duration: second / 10})
+	r.step(Event{Kind: EvOutcome, Message: 2, Endpoint: 7, Outcome: Errored, Elapsed: second / 10})
 	if len(r.sends) != 1 || r.policy.callsInFlight != 3 {
 		t.Fatalf("got sends %v and %d calls in flight with one slot free, want 1 and 3", r.sends,
 			r.policy.callsInFlight)
 	}
-	r.step(Event{Kind: EvOutcome, Message: 4, Endpoint: 55, Outcome: Delivered, Final: true, Duration: second / 10})
-	r.step(Event{Kind: EvOutcome, Message: 3, Endpoint: 8, Outcome: Delivered, Final: true, Duration: second / 10})
+	r.step(Event{Kind: EvOutcome, Message: 4, Endpoint: 55, Outcome: Delivered, Settled: true, Elapsed: second / 10})
+	r.step(Event{Kind: EvOutcome, Message: 3, Endpoint: 8, Outcome: Delivered, Settled: true, Elapsed: second / 10})
 	for _, id := range []uint32{1, 3, 4} {
 		if r.policy.messages[id] != nil {
 			t.Errorf("message %d still held after its delivery", id)
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -52,7 +52,7 @@
 	switch {
 	case m.ended:
 		p.forgetMessage(m)
-	case e.Outcome == Delivered || e.Final:
+	case e.Outcome == Delivered || e.Settled:
 		p.finishMessage(m)
 	default:
 		m.dest.queue = append(m.dest.queue, m)
@@ -65,11 +65,11 @@
 	ep, l := c.endpoint, c.endpoint.limiter
 	if e.Load.Limit > 0 {
 		l.reportedLimit = e.Load.Limit
-		// The full buckets of all relays together exceed what is left of the limit: each keeps that share
-		// of its burst.
+		// The full buckets of all relays together exceed what is left of the limit: each relay keeps only
+		// the remaining share of its burst.
 		l.bucket.tokens = min(l.bucket.tokens, 1+e.Load.Remaining*(p.burst(l)-1))
 	}
-	if share := &p.noConnectionShare[l.dest.kindIndex]; e.NoFreeConnection && e.Outcome == Rejected {
+	if share := &p.noConnectionShare[l.dest.kindIndex]; e.TooManyConns && e.Outcome == Rejected {
 		// A reported lack of connections says nothing about the rate limit or the health of the endpoint: the
 		// next call may get one. Meanwhile the relays close idle connections sooner (see idleTimeout).
 		*share += (1 - *share) / noConnectionSampleCalls
@@ -100,9 +100,9 @@
 		l.history.addAccept(p.now)
 		l.window = min(l.window+1, float64(p.settings.Slots))
 		l.rejectionRun = 0
-		l.latency.add(float64(e.Duration))
-		ep.latency.add(float64(e.Duration))
-		p.latency.add(float64(e.Duration))
+		l.latency.add(float64(e.Elapsed))
+		ep.latency.add(float64(e.Elapsed))
+		p.latency.add(float64(e.Elapsed))
 		if l.rateLimited && (e.Load.Limit == 0 || e.Load.Remaining > rateIncreaseMinRemaining) {
 			l.rateFactor = min(l.rateFactor*rateIncreaseFactor, float64(p.settings.Relays))
 		}
@@ -110,7 +110,8 @@
 	case Rejected:
 		l.window = max(l.window/2, 1)
 		l.rateFactor = max(l.rateFactor*p.rejectionFactor, minRateFactor)
-		l.bucket.tokens = min(l.bucket.tokens, max(p.evenShare(l)-1, 0)) // that capacity is used up
+		// The destination has no capacity left for the tokens saved so far.
+		l.bucket.tokens = min(l.bucket.tokens, max(p.evenShare(l)-1, 0))
 		if l.rejectionRun++; l.rejectionRun == 1 {
 			l.rejectionRunStart = p.now
 		}
@@ -122,7 +123,8 @@
 		round := p.roundSeconds(l, c.messages[0])
 		backoff := float64(second) * max(round, 1/p.burst(l), min(1/rate, p.backoffRatio(l)*runSeconds))
 		l.backoffUntil = p.now + Time(backoff*(0.5+p.rng.Float64()))
-		// The draw loads all routes alike: the others must not get the calls that this one rejected.
+		// chooseEndpoint draws routes by their rates, so the others are about as loaded as this one: the
+		// calls that it rejected must not move to them.
 		if p.sparse(l) {
 			for _, x := range l.dest.limiters {
 				if x != l {
@@ -164,8 +166,8 @@
 	}
 }
 
-// roundSeconds returns the seconds in which each relay sends one call at the capacity of the limiter, but
-// no more than leave the message time for another attempt.
+// roundSeconds returns the length of a round: the seconds in which each relay sends one call at the capacity
+// of the limiter, but at most half the deadline, so that the message has time for another attempt.
 func (p *Policy) roundSeconds(l *limiter, m *message) float64 {
 	return min(1/p.evenShare(l), float64(m.class.Deadline)/2/float64(second))
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -10,11 +10,11 @@
 	ejectionScore = 0.6
 	// ejectionScoreFewCalls is the same for relays that see few calls; it takes two failures in a row.
 	ejectionScoreFewCalls = 0.5
-	// singleFailureMaxCalls is the number of calls in an overload time, as an even share, below which a
-	// single failure ejects.
+	// singleFailureMaxCalls is compared with the calls that an even share amounts to in an overload time.
+	// With fewer calls than this a single failure ejects the endpoint.
 	singleFailureMaxCalls = 0.5
-	// fewCallsMax is the number below which three failures in a row take longer than an overload time, so
-	// that two have to be enough.
+	// fewCallsMax is compared with the same number of calls. With fewer calls than this three failures in a
+	// row take longer than an overload time, so two have to be enough.
 	fewCallsMax = 3.0
 	// backoffGrowth is, with many relays, the ratio of a backoff to the time since the first failure of the
 	// run.
@@ -22,7 +22,7 @@
 	// unavailableRejections is how many rejections without a success between them, far enough apart, mean
 	// that an endpoint is unavailable rather than at its limit.
 	unavailableRejections = 2
-	// unavailableRounds is how many rounds of calls at the limit such a run must outlast.
+	// unavailableRounds is how many rounds (see roundSeconds) such a run must outlast.
 	unavailableRounds = 2.0
 	// relaysPerMessage is the number of relays assumed to call a destination, for each message that has
 	// arrived for it since its outage began.
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -67,7 +67,8 @@
 // startSlowly reduces the send rate to a destination for which a predecessor process left messages. Where
 // many relays send few calls each, many of them may have been killed at the same moment. With full buckets
 // and a backlog they would together exceed the rate limit many times, and the rejections would use up the
-// capacity. The cost is that messages held through the restart of a single relay wait for up to one round.
+// capacity. The cost is that messages held through the restart of a single relay wait for up to one round
+// (see roundSeconds).
 func (p *Policy) startSlowly(d *destination) {
 	for _, l := range d.limiters {
 		if p.sparse(l) && !l.bucket.initialized {
@@ -117,7 +118,8 @@
 	return m.worth * (1 - (1-m.class.LateWorth)*elapsed)
 }
 
-// drainTime estimates how long a destination takes for its queue.
+// drainTime estimates, as far as this relay can tell, how long a destination takes for its queue: messages
+// that other relays hold for it are not known.
 func (p *Policy) drainTime(d *destination) Time {
 	rate := 0.0
 	for _, l := range d.limiters {
@@ -127,7 +129,7 @@
 	return Time(min(wait, 60)*1e6) + p.usualLatency(d)
 }
 
-// usualLatency estimates how long a call to the destination takes.
+// usualLatency estimates, as far as this relay can tell, how long a call to the destination takes.
 func (p *Policy) usualLatency(d *destination) Time {
 	if len(d.limiters) > 0 && d.limiters[0].latency.samples > 0 {
 		return Time(d.limiters[0].latency.mean)
@@ -156,9 +158,9 @@
 	})
 }
 
-// shed ends the messages of least value until some of MaxHeld is free: a new message that would be refused
-// unseen may be worth more than they are, and messages whose destination is unavailable for long must not
-// take the places of the others.
+// shed ends the messages of least value until the reserve of MaxHeld (see heldReserveDivisor) is free: a new
+// message that would be refused unseen may be worth more than they are, and messages whose destination is
+// unavailable for long must not take the places of the others.
 func (p *Policy) shed() {
 	for p.settings.MaxHeld > 0 &&
 		len(p.unfinished) > p.settings.MaxHeld-max(1, p.settings.MaxHeld/heldReserveDivisor) {
--- a/decide/resume_test.go
+++ b/decide/resume_test.go
@@ -65,7 +65,7 @@
 			}
 			// Attempts are numbered on from those of the predecessor process.
 			after := p.Step(now+second/10, []Event{{Kind: EvOutcome, Message: 1, Attempt: c.attempts, Endpoint: 7,
-				Outcome: Delivered, Final: true, Duration: second / 10}}, nil)
+				Outcome: Delivered, Settled: true, Elapsed: second / 10}}, nil)
 			for _, a := range after {
 				if a.Kind != ActTimer && a.Kind != ActLog {
 					t.Errorf("got action %v after the delivery, want none", a.Kind)
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -12,10 +12,11 @@
 	toleratedDeviations = 2.0
 	// toleratedExtraCalls is how many further calls it withstands.
 	toleratedExtraCalls = 2.0
-	// pacedDeviations is how many of those square roots may be used by relays that space their calls evenly.
-	pacedDeviations = 1.5
-	// informedCallShare is the share of those calls above which a repeated failure is attributed to the
-	// relays that knew of the outage.
+	// fixedCostDeviations is how many of those square roots are added to the budget where every relay may
+	// send bursts. There each call costs exactly one token, so chance does not add to the calls.
+	fixedCostDeviations = 1.5
+	// informedCallShare applies to all calls to a recovering destination that fails again. Its failure counts
+	// against the relays that knew of the outage if they made more than this share of the calls.
 	informedCallShare = 2.0 / 3
 )
 
@@ -83,8 +84,8 @@
 	deviation := math.Sqrt(startBudget)
 	switch {
 	case startBudget*budgetBurstShare >= peers:
-		// Every relay may send bursts, so that no random costs add variation.
-		return min(total*share, startBudget+pacedDeviations*deviation)
+		// Every relay may send bursts, so the costs of its calls are not random and add no variation.
+		return min(total*share, startBudget+fixedCostDeviations*deviation)
 	case p.seesFewCalls(ep.limiter):
 		// Some relays may not know of the outage and send at the full rate.
 		return min(startBudget,
--- a/decide/state.go
+++ b/decide/state.go
@@ -44,7 +44,8 @@
 	slotsExhaustedSince Time
 }
 
-// destination holds the queue of a destination and a limiter for each thing that limits it.
+// destination holds the queue of a destination and its limiters: one, or one for each route where the routes
+// have separate limits.
 type destination struct {
 	id           int
 	kind         DestKind
@@ -55,7 +56,7 @@
 	pending      bool
 	dispatchable bool // listed in Policy.dispatchable
 	nextWakeAt   Time // the next evaluation by timer
-	lastWakeAt   Time // the last evaluation by timer that is scheduled
+	lastWakeAt   Time // the latest evaluation by timer that is scheduled
 	loggedAt     Time // last log line of logWaitReasons
 	shedPass     int  // the pass of shed that set drainedAt
 	drainedAt    Time // estimate of when the current queue will have been sent
@@ -66,8 +67,8 @@
 	destinationUse
 }
 
-// limiter holds the rate limit, the window, the waits and the call history that a destination shares, or one
-// route of a destination with separate limits.
+// limiter holds the rate limit, the window, the waits and the call history of a destination, or of one route
+// of a destination with separate limits.
 type limiter struct {
 	dest              *destination
 	endpoints         []*endpoint
@@ -193,7 +194,7 @@
 			}
 		}
 		p.logf("dest %d: waiting %d, in flight %d, window %.0f, slots used %d, requests %.0f, accepts %.0f, "+
-			"pace %.1f, tokens %.1f, limit %.1f, wait %dms, pause %dms, endpoints %d, ejected %d, resting %d",
+			"pace %.1f, tokens %.1f, limit %.1f, wait %dms, pause %dms, endpoints %d, ejected %d, backoff %d",
 			d.id, len(d.queue), l.inFlight, l.window, p.callsInFlight, requests, accepts, p.sendRate(l),
 			l.bucket.tokens, l.reportedLimit, max(l.retryAfterUntil-p.now, 0)/1000,
 			max(l.backoffUntil-p.now, 0)/1000, len(l.endpoints), ejected, backingOff)
--- a/decide/throttle.go
+++ b/decide/throttle.go
@@ -12,13 +12,13 @@
 	throttleMultiplier = 2.0
 	// priorAccepts is added to the accepts, so that a few calls alone do not cause drops.
 	priorAccepts = 2.0
-	// maxDropProbability is the highest drop probability, so that some calls always pass.
+	// maxDropProbability is the highest drop probability. It is below 1 so that some calls always pass.
 	maxDropProbability = 0.9
 	// sparseMultiplier is the multiplier K for the last calls to all sparse limiters.
 	sparseMultiplier = 1.0
 	// sparseSampleCalls is the number of these calls over which their history is averaged.
 	sparseSampleCalls = 8
-	// minCallShare is the share of all calls from which on a relay's own calls show the state of a
+	// minCallShare is the share of all calls that a relay must make so that its own calls show the state of a
 	// destination.
 	minCallShare = 0.1
 )
@@ -55,7 +55,7 @@
 // one is mostly empty, but what overloads one (traffic beyond the capacity, lowered limits, many relays
 // that restart at once) overloads most of them. A rejected call may use as much of a rate limit as an
 // accepted one, so K is one. The cost is that a call to a destination with free capacity may wait for up to
-// one round.
+// one round (see roundSeconds).
 func (p *Policy) sparseThrottled(l *limiter) bool {
 	return p.sparse(l) &&
 		p.rng.Float64() < min(1-sparseMultiplier*(1-p.sparseRejectShare), maxDropProbability)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -86,7 +86,7 @@
 	}
 	if e.List == ListFull || e.List == ListCached {
 		for id := range c.entries {
-			if _, bad := c.unusableSince[id]; !seen[id] && !bad {
+			if _, unusable := c.unusableSince[id]; !seen[id] && !unusable {
 				c.unusableSince[id] = now
 			}
 		}
@@ -150,7 +150,7 @@
 			c.violationf(now, "%d attempts already made when message %d was sent, want fewer than MaxAttempts",
 				m.attempts, a.Message)
 		}
-		if at, bad := c.unusableSince[a.Endpoint]; bad && now > at+c.settings.DrainGrace {
+		if at, unusable := c.unusableSince[a.Endpoint]; unusable && now > at+c.settings.DrainGrace {
 			c.violationf(now, "drain: sent message %d to endpoint %d after the drain grace", a.Message, a.Endpoint)
 		}
 		if now < c.retryAfterUntil[c.limiterName(a.Endpoint)] {
@@ -171,8 +171,8 @@
 		}
 		if class.InOrder && m.key != 0 {
 			for _, id := range c.orderedKeys[m.key] {
-				o := c.messages[id]
-				if o.seq < m.seq && (!o.ended || o.inFlight) {
+				earlier := c.messages[id]
+				if earlier.seq < m.seq && (!earlier.ended || earlier.inFlight) {
 					c.violationf(now, "order: sent message %d before message %d of the same key", a.Message, id)
 				}
 			}
@@ -202,8 +202,8 @@
 		}
 		c.handedBack++
 		class := &c.settings.Classes[m.class]
-		open := m.mayHaveRun || m.inFlight
-		if open && (class.Idempotency == NonIdempotent || class.Idempotency == Deduplicated && class.DedupByZone) {
+		uncertain := m.mayHaveRun || m.inFlight
+		if uncertain && (class.Idempotency == NonIdempotent || class.Idempotency == Deduplicated && class.DedupByZone) {
 			c.violationf(now, "handed back message %d, which may have run", a.Message)
 		}
 	case ActTimer:
@@ -212,7 +212,7 @@
 		if now < c.retryAfterUntil[c.limiterName(a.Endpoint)] {
 			c.violationf(now, "wait: probed endpoint %d before its Retry-After was over", a.Endpoint)
 		}
-		if at, bad := c.unusableSince[a.Endpoint]; bad && now > at+c.settings.DrainGrace {
+		if at, unusable := c.unusableSince[a.Endpoint]; unusable && now > at+c.settings.DrainGrace {
 			c.violationf(now, "drain: probed endpoint %d after the drain grace", a.Endpoint)
 		}
 		c.probes = append(c.probes, a.Endpoint)
@@ -352,7 +352,7 @@
 				continue
 			}
 			e := Event{Kind: EvOutcome, Message: f.message, Attempt: f.attempt, Endpoint: f.endpoint,
-				Duration: second / 5}
+				Elapsed: second / 5}
 			switch {
 			case f.timeoutAt <= now:
 				e.Outcome = TimedOut
@@ -364,7 +364,7 @@
 			if e.Outcome == Rejected && rng.IntN(2) == 0 {
 				e.RetryAfter = Time(rng.Int64N(int64(3 * second)))
 			}
-			e.Final = c.messages[f.message].ended || e.Outcome == Delivered
+			e.Settled = c.messages[f.message].ended || e.Outcome == Delivered
 			if rng.IntN(2) == 0 {
 				e.Load = Load{Remaining: rng.Float64(), Limit: 10 * rng.Float64()}
 			}
@@ -413,7 +413,7 @@
 
 // listedState returns the state of an endpoint in the last list applied; a removed one counts as draining.
 func (c *checker) listedState(e Endpoint) EndpointState {
-	if _, bad := c.unusableSince[e]; bad {
+	if _, unusable := c.unusableSince[e]; unusable {
 		return Draining
 	}
 	return Ready
--- a/internal/ci/verdict/main.go
+++ b/internal/ci/verdict/main.go
@@ -52,7 +52,7 @@
 		}
 		match := knownRedLine.FindStringSubmatch(line)
 		if match == nil {
-			return nil, fmt.Errorf("KNOWN-RED.txt: %q is no `package.Test; cause; issue N`", line)
+			return nil, fmt.Errorf("KNOWN-RED.txt: %q is not `package.Test; cause; issue N`", line)
 		}
 		list = append(list, knownRed{match[1], match[2], line})
 	}
@@ -96,7 +96,7 @@
 		case crash != "":
 			problems = append(problems, fmt.Sprintf("%s: %s", pkg, crash))
 		case len(failedTests) == 0:
-			problems = append(problems, fmt.Sprintf("%s failed, and no test says so: %s", pkg, match[2]))
+			problems = append(problems, fmt.Sprintf("%s failed without a failed test: %s", pkg, match[2]))
 		}
 		for _, test := range failedTests {
 			index := slices.IndexFunc(unmatched, func(r knownRed) bool { return r.pkg == pkg && r.test == test })
@@ -109,7 +109,7 @@
 		failedTests, crash = nil, ""
 	}
 	for _, r := range unmatched {
-		problems = append(problems, fmt.Sprintf("%s.%s is listed as red and did not fail", r.pkg, r.test))
+		problems = append(problems, fmt.Sprintf("%s.%s is listed as known red and did not fail", r.pkg, r.test))
 	}
 	switch {
 	case packages == 0:
@@ -127,7 +127,7 @@
 	}
 	code, err := strconv.Atoi(args[1])
 	if err != nil {
-		return 2, fmt.Errorf("EXIT-CODE: %q is no number", args[1])
+		return 2, fmt.Errorf("EXIT-CODE: %q is not a number", args[1])
 	}
 	text, err := os.ReadFile(args[0])
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -511,7 +511,7 @@
 		r.handleCallResult(ev.call, ev.msg, ev.result)
 	case ev.probedEndpoint != 0:
 		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvProbeResult, Endpoint: ev.probedEndpoint,
-			Outcome: ev.result.outcome, Duration: ev.result.elapsed, Load: ev.result.load})
+			Outcome: ev.result.outcome, Elapsed: ev.result.elapsed, Load: ev.result.load})
 	}
 }
 
@@ -993,8 +993,8 @@
 func (r *Relay) handleAttemptEnd(msg *message, c *call, result *callResult) {
 	policyEvent := decide.Event{Kind: decide.EvOutcome, Message: msg.num, Attempt: msg.attempts - 1,
 		Outcome: result.outcome, RetryAfter: result.retryAfter,
-		NoFreeSlot: result.slotsTaken, NoFreeConnection: result.tooManyConns, Final: result.settled || msg.ended,
-		Duration: result.elapsed, Load: result.load}
+		SlotsTaken: result.slotsTaken, TooManyConns: result.tooManyConns, Settled: result.settled || msg.ended,
+		Elapsed: result.elapsed, Load: result.load}
 	if c.ep != nil {
 		policyEvent.Endpoint = c.ep.num
 	}
--- a/internal/rig/experiment/experiment.go
+++ b/internal/rig/experiment/experiment.go
@@ -78,20 +78,20 @@
 // History describes a simulated fleet in which each relay has little traffic to any one destination, and so little
 // history to tell from whether it is up.
 type History struct {
-	Relays         int     `toml:"relays" json:"relays"`               // relays in the whole fleet
-	Simulated      int     `toml:"played" json:"played"`               // simulated relays; capacity is scaled to them
-	EventsPerS     float64 `toml:"events_per_s" json:"events_per_s"`   // messages per second at one relay
-	Seconds        float64 `toml:"seconds" json:"seconds"`             // simulated time
-	DownShare      float64 `toml:"down_share" json:"down_share"`       // share of destinations down at any time
-	DownMeanS      float64 `toml:"down_mean_s" json:"down_mean_s"`     // mean duration of an outage
-	Zipf           float64 `toml:"zipf" json:"zipf"`                   // exponent of the weights; 0 for equal weights
-	Headroom       float64 `toml:"headroom" json:"headroom"`           // capacity of a destination over its mean traffic
-	DeadlineS      float64 `toml:"deadline_s" json:"deadline_s"`       // deadline of a message
-	RoundTripMS    float64 `toml:"round_trip_ms" json:"round_trip_ms"` // mean round trip of a call
-	SilentShare    float64 `toml:"silent_share" json:"silent_share"`   // share of outages without any response
-	ThrottledShare float64 `toml:"told_share" json:"told_share"`       // share of outages with 429 and Retry-After
-	RetryAfterS    float64 `toml:"told_wait_s" json:"told_wait_s"`     // Retry-After of these responses
-	MaxHeld        int     `toml:"most_held" json:"most_held"`         // messages that a relay holds at most
+	Relays          int     `toml:"relays" json:"relays"`               // relays in the whole fleet
+	Simulated       int     `toml:"played" json:"played"`               // simulated relays; capacity is scaled to them
+	EventsPerS      float64 `toml:"events_per_s" json:"events_per_s"`   // messages per second at one relay
+	Seconds         float64 `toml:"seconds" json:"seconds"`             // simulated time
+	DownShare       float64 `toml:"down_share" json:"down_share"`       // share of destinations down at any time
+	DownMeanS       float64 `toml:"down_mean_s" json:"down_mean_s"`     // mean duration of an outage
+	Zipf            float64 `toml:"zipf" json:"zipf"`                   // exponent of the weights; 0 for equal weights
+	Headroom        float64 `toml:"headroom" json:"headroom"`           // capacity of a destination over its mean traffic
+	DeadlineS       float64 `toml:"deadline_s" json:"deadline_s"`       // deadline of a message
+	RoundTripMS     float64 `toml:"round_trip_ms" json:"round_trip_ms"` // mean round trip of a call
+	NoReplyShare    float64 `toml:"silent_share" json:"silent_share"`   // share of outages without any response
+	RetryAfterShare float64 `toml:"told_share" json:"told_share"`       // share of outages with 429 and Retry-After
+	RetryAfterS     float64 `toml:"told_wait_s" json:"told_wait_s"`     // Retry-After of these responses
+	MaxHeld         int     `toml:"most_held" json:"most_held"`         // messages that a relay holds at most
 }
 
 // Kinds maps each kind of experiment to a description of what it measures against which size.
@@ -127,7 +127,7 @@
 			Reconnects: 5},
 		Fleet: Fleet{Zones: 4, RackSize: 20, Fault: "silent", KnownList: true, DownS: 5, IdleS: 4, TimeoutS: 120},
 		History: History{Relays: 3000, Simulated: 10, EventsPerS: 157, Seconds: 120, DownShare: 0.024, DownMeanS: 60,
-			Headroom: 2, DeadlineS: 8, RoundTripMS: 30, SilentShare: 0.5, MaxHeld: 100000},
+			Headroom: 2, DeadlineS: 8, RoundTripMS: 30, NoReplyShare: 0.5, MaxHeld: 100000},
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := decoder.Decode(exp); err != nil {
--- a/internal/rig/experiment/policy.go
+++ b/internal/rig/experiment/policy.go
@@ -92,7 +92,7 @@
 		for _, a := range actions {
 			if a.Kind == decide.ActSend && a.Message == message {
 				step(decide.Event{Kind: decide.EvOutcome, Message: a.Message, Attempt: a.Attempt, Endpoint: a.Endpoint,
-					Outcome: decide.Delivered, Final: true, Duration: 1000})
+					Outcome: decide.Delivered, Settled: true, Elapsed: 1000})
 				return
 			}
 		}
--- a/internal/rig/hollow/path.go
+++ b/internal/rig/hollow/path.go
@@ -131,7 +131,7 @@
 }
 
 // arrive hands in the next message to a relay. The relay's list has only the destinations of its messages, each added
-// with its first message. To the policy a destination known for longer without a message makes no difference.
+// with its first message. How long a destination was listed before that makes no difference to the policy.
 func (p *dataPath) arrive(relay int, now decide.Time) {
 	r := p.relays[relay]
 	dest := p.opts.Weights.Draw(p.rng)
@@ -209,12 +209,12 @@
 			if msg != nil && msg.inFlightAttempt == action.Attempt {
 				p.queue.Add(int64(now+1), pathEvent{relay: relay, message: action.Message,
 					outcome: decide.Event{Kind: decide.EvOutcome, Message: action.Message, Attempt: action.Attempt,
-						Outcome: decide.Cancelled, Duration: 1}})
+						Outcome: decide.Cancelled, Elapsed: 1}})
 			}
 		case decide.ActTimer:
-			// Timers are rounded up to a millisecond and those of the same millisecond are merged. A step on a timer
-			// sets another one a tick later while something is due within the tick, so that without merging each
-			// extra timer would be renewed without end.
+			// Timers are rounded up to a millisecond and those of the same millisecond are merged. As long as
+			// something is due within a tick, the step of each timer requests another timer a tick later. Without
+			// merging, extra timers would never become fewer.
 			if at := (now + max(action.After, 1) + timerResolution - 1) /
 				timerResolution * timerResolution; !r.pendingTimers[at] {
 				r.pendingTimers[at] = true
@@ -235,26 +235,26 @@
 	if down, _ := p.opts.Outages.IsDown(msg.dest, modelTime(now)); down {
 		p.counts.CallsToDown++
 	}
-	took := decide.Time(float64(p.opts.MeanRoundTrip.Microseconds())*(0.5+p.rng.ExpFloat64()/2)) + 1
+	elapsed := decide.Time(float64(p.opts.MeanRoundTrip.Microseconds())*(0.5+p.rng.ExpFloat64()/2)) + 1
 	outcome := decide.Event{Kind: decide.EvOutcome, Message: action.Message, Attempt: msg.inFlightAttempt,
 		Endpoint: action.Endpoint}
-	reply, wait := p.opts.Partners.Call(msg.dest, modelTime(now))
+	reply, retryAfter := p.opts.Partners.Call(msg.dest, modelTime(now))
 	switch reply {
 	case partner.Served:
-		outcome.Outcome, outcome.Final = decide.Delivered, true
+		outcome.Outcome, outcome.Settled = decide.Delivered, true
 	case partner.Throttled:
 		p.counts.BusyReplies++
 		outcome.Outcome = decide.Rejected
 	case partner.RetryLater:
-		outcome.Outcome, outcome.RetryAfter = decide.Rejected, decide.Time(wait.Microseconds())
+		outcome.Outcome, outcome.RetryAfter = decide.Rejected, decide.Time(retryAfter.Microseconds())
 	case partner.Failed:
 		outcome.Outcome = decide.Errored
 	case partner.NoReply:
 		outcome.Outcome = decide.TimedOut
 	}
-	if timeout := max(action.TimeoutAt-now, 1); reply == partner.NoReply || took > timeout {
-		took, outcome.Outcome, outcome.Final = timeout, decide.TimedOut, false
+	if timeout := max(action.TimeoutAt-now, 1); reply == partner.NoReply || elapsed > timeout {
+		elapsed, outcome.Outcome, outcome.Settled = timeout, decide.TimedOut, false
 	}
-	outcome.Duration = took
-	p.queue.Add(int64(now+took), pathEvent{relay: relay, message: action.Message, outcome: outcome})
+	outcome.Elapsed = elapsed
+	p.queue.Add(int64(now+elapsed), pathEvent{relay: relay, message: action.Message, outcome: outcome})
 }
--- a/internal/rig/partner/server.go
+++ b/internal/rig/partner/server.go
@@ -49,26 +49,26 @@
 func (s *Server) Close() error { return s.server.Close() }
 
 // SetResponse sets the response to calls from now on.
-func (s *Server) SetResponse(a Response) {
+func (s *Server) SetResponse(response Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.response = a
+	s.response = response
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	s.Calls.Add(1)
 	s.mu.Lock()
-	a := s.response
+	response := s.response
 	s.mu.Unlock()
-	if a.Delay > 0 {
-		time.Sleep(a.Delay)
+	if response.Delay > 0 {
+		time.Sleep(response.Delay)
 	}
 	switch {
-	case a.Hang:
+	case response.Hang:
 		<-r.Context().Done()
-	case a.RetryAfter > 0:
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+	case response.RetryAfter > 0:
+		w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
 	default:
 		s.Served.Add(1)
--- a/internal/rig/registry/registry.go
+++ b/internal/rig/registry/registry.go
@@ -135,7 +135,7 @@
 	return append([]Count(nil), r.seconds...)
 }
 
-// Total returns the sum of the counts from the second with the number from.
+// Total returns the sum of the counts of the seconds from the given one on, which counts from 0.
 func (r *Registry) Total(from int) (sum Count) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -356,7 +356,7 @@
 }
 
 // waitUntilServing delays a request until the condition permits a reply, or until the request ends, in which case it
-// returns an error. A request that arrives during the fault Lost waits until it ends.
+// returns an error. A request that arrives during the fault Lost is never permitted a reply, also after the fault.
 func (a *Agent) waitUntilServing(ctx context.Context) error {
 	counted, lost := false, false
 	for {
--- a/internal/rig/report/report.go
+++ b/internal/rig/report/report.go
@@ -58,7 +58,7 @@
 }
 
 // Table writes a line for each series: the fit with its standard errors, the mean of the values measured at the
-// largest size, and the value of the fit at the goal, marked as extrapolated, if the goal is above the largest size.
+// largest size, and, if the goal is above the largest size, the value of the fit at the goal, marked as extrapolated.
 func Table(w io.Writer, series []*Series) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "experiment\tcommit\tfigure\tslope\t± error\tintercept\t± error\tR²\tsizes\tlargest size\tmeasured there\tgoal\tat the goal\t")
--- a/internal/rig/world/world.go
+++ b/internal/rig/world/world.go
@@ -161,7 +161,7 @@
 
 // Outages generates outages of destinations. Each destination alternates between up and down for exponentially
 // distributed periods, whose means give the share of destinations that are down at any time. Periods are generated
-// only for destinations that IsDown is called for, from a random number generator for each.
+// only for destinations that IsDown is called for. Each destination has a random number generator of its own.
 type Outages struct {
 	seed    uint64
 	share   float64
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,35 +27,35 @@
 // attempt or a probe. The name in quotes is the protocol's own name of an
 // event, which error messages use.
 const (
-	EvStart            = 10  // "up": a relay starts with a seed and a settings text
-	EvListUpdate       = 20  // "sync": a relay receives an update of the endpoint list
-	EvMessage          = 30  // "call": a client hands in a message
-	EvResponseStarted  = 40  // the response to an attempt has started to arrive
-	EvOutcome          = 50  // "resolved": an attempt has ended
-	EvWithdraw         = 60  // a message is no longer wanted
-	EvTimer            = 70  // a timer has expired
-	EvProbeResult      = 80  // "health_result": a probe has ended
-	EvDatagram         = 90  // "datagram": a datagram has arrived
-	EvStop             = 100 // a relay stops
-	EvListEntries      = 110 // "table": defines the entries of a numbered list
-	ListCached         = 0   // the whole list, as it was last fetched
-	ListFailed         = 1   // the list could not be fetched
-	ListFull           = 3   // the whole list
-	ListDelta          = 4   // changed entries only
-	StatusOK           = 0
-	StatusNotSent      = 249 // the attempt never left the relay
-	StatusCancelled    = 250
-	StatusReset        = 251 // the connection broke
-	StatusNoConnection = 252 // no connection in time
-	StatusTimeout      = 253 // no response in time
-	StatusFull         = 254 // the endpoint rejected the call because of its limit
-	StatusError        = 255 // the endpoint replied with an error
+	EvStart             = 10  // "up": a relay starts with a seed and a settings text
+	EvListUpdate        = 20  // "sync": a relay receives an update of the endpoint list
+	EvMessage           = 30  // "call": a client hands in a message
+	EvResponseStarted   = 40  // the response to an attempt has started to arrive
+	EvOutcome           = 50  // "resolved": an attempt has ended
+	EvWithdraw          = 60  // a message is no longer wanted
+	EvTimer             = 70  // a timer has expired
+	EvProbeResult       = 80  // "health_result": a probe has ended
+	EvDatagram          = 90  // "datagram": a datagram has arrived
+	EvStop              = 100 // a relay stops
+	EvListEntries       = 110 // "table": defines the entries of a numbered list
+	ListCached          = 0   // the whole list, as it was last fetched
+	ListFailed          = 1   // the list could not be fetched
+	ListFull            = 3   // the whole list
+	ListDelta           = 4   // changed entries only
+	StatusOK            = 0
+	StatusNotSent       = 249 // the attempt never left the relay
+	StatusCancelled     = 250
+	StatusReset         = 251 // the connection broke
+	StatusConnectFailed = 252 // no connection in time
+	StatusTimeout       = 253 // no response in time
+	StatusRejected      = 254 // the endpoint rejected the call because of its limit
+	StatusError         = 255 // the endpoint replied with an error
 )
 
 // Codes of actions.
 const (
 	ActSend   = 20
-	ActRefuse = 30 // refuses a message, with a delay after which the client may retry
+	ActRefuse = 30 // hands a message back, with a delay after which the client may retry
 	ActLog    = 40
 	ActWatch  = 50 // subscribes to list updates
 	ActTimer  = 60
@@ -73,7 +73,7 @@
 	Zone     uint16
 	Kind     uint8
 	Dest     uint16
-	State    uint8   // 0 gone, 1 ready, 2 draining
+	State    uint8   // 0 removed, 1 ready, 2 draining
 	Rate     float32 // nominal capacity of the destination in calls per second
 	UpSince  uint64  // microseconds
 }
@@ -86,7 +86,7 @@
 	ListNumber     uint8
 	Status         uint8
 	Attempt        uint8
-	Final          bool // no further attempt is needed for the message
+	Settled        bool // no further attempt is needed for the message
 	Class          uint16
 	Flags          uint16 // bit 0: EstimatedCost is set
 	Dest           uint16
@@ -94,8 +94,8 @@
 	Tenant         uint32
 	TimeLeft       uint32 // microseconds until the message's deadline
 	EstimatedCost  uint32 // microseconds
-	StatusDetail   uint32 // StatusFull: Retry-After in milliseconds; StatusNotSent: 1 if no slot was free
-	Duration       uint32 // microseconds that the attempt or probe took
+	StatusDetail   uint32 // StatusRejected: Retry-After in milliseconds; StatusNotSent: 1 if no slot was free
+	Elapsed        uint32 // microseconds that the attempt or probe took
 	Endpoint       uint64
 	Key            uint64 // 0 for none
 	Token          uint64 // seed of an EvStart, version of an EvListUpdate, token of an EvTimer
@@ -239,11 +239,11 @@
 		e.Dest, e.Tenant, e.EstimatedCost =
 			uint16(destination), bigEndian.Uint32(record[27:]), bigEndian.Uint32(record[31:])
 	case EvResponseStarted:
-		e.MessageID, e.Attempt, e.Endpoint, e.Duration =
+		e.MessageID, e.Attempt, e.Endpoint, e.Elapsed =
 			bigEndian.Uint32(record[3:]), record[7], decodeEndpoint(record[8:]), bigEndian.Uint32(record[14:])
 	case EvOutcome:
 		e.MessageID, e.Endpoint, e.Attempt = bigEndian.Uint32(record[3:]), decodeEndpoint(record[7:]), record[13]
-		e.StatusDetail, e.Duration, e.Status, e.Final =
+		e.StatusDetail, e.Elapsed, e.Status, e.Settled =
 			bigEndian.Uint32(record[14:]), bigEndian.Uint32(record[18:]), record[22], record[23] != 0
 		if !isKnownStatus(e.Status) {
 			return fmt.Errorf("resolved: unknown status %d", e.Status)
@@ -256,7 +256,7 @@
 	case EvTimer:
 		e.Token = bigEndian.Uint64(record[3:])
 	case EvProbeResult:
-		e.Endpoint, e.Status, e.Duration = decodeEndpoint(record[3:]), record[9], bigEndian.Uint32(record[10:])
+		e.Endpoint, e.Status, e.Elapsed = decodeEndpoint(record[3:]), record[9], bigEndian.Uint32(record[10:])
 		if !isKnownStatus(e.Status) {
 			return fmt.Errorf("health_result: unknown status %d", e.Status)
 		}
@@ -282,7 +282,7 @@
 			Dest: bigEndian.Uint16(b[9:]), State: b[11],
 			Rate: math.Float32frombits(bigEndian.Uint32(b[12:])), UpSince: bigEndian.Uint64(b[16:])}
 		if b[11] > 2 {
-			return nil, fmt.Errorf("table: entry %d: unknown readiness %d", i, b[11])
+			return nil, fmt.Errorf("table: entry %d: unknown state %d", i, b[11])
 		}
 	}
 	return entries, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -77,8 +77,8 @@
 		t.Fatal(err)
 	}
 	outcome := events[0]
-	if outcome.Attempt != 7 || outcome.StatusDetail != 25 || outcome.Duration != 0x4844 ||
-		outcome.Status != StatusFull || !outcome.Final || outcome.ReportLen != 2 ||
+	if outcome.Attempt != 7 || outcome.StatusDetail != 25 || outcome.Elapsed != 0x4844 ||
+		outcome.Status != StatusRejected || !outcome.Settled || outcome.ReportLen != 2 ||
 		outcome.Report[1] != 1.25 || outcome.Endpoint != 0x0a124a071f43 {
 		t.Errorf("got outcome event %+v", outcome)
 	}
@@ -151,8 +151,8 @@
 		"entries outside":  {batchFrame(1, make([]byte, 30), padRecord(t, "6e 00 00000000 00000002")), "outside the tail"},
 		"offset outside": {batchFrame(1, nil,
 			padRecord(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
-		"readiness": {batchFrame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...),
-			padRecord(t, "6e 00 00000000 00000001")), "readiness 9"},
+		"endpoint state": {batchFrame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...),
+			padRecord(t, "6e 00 00000000 00000001")), "state 9"},
 		"status": {batchFrame(1, nil,
 			padRecord(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
 		"report": {batchFrame(1, nil,
