--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -33,8 +33,8 @@
 	idleTimeout         = 4 * time.Second         // from a reply to the first byte of the next command
 	maxDeadlineFactor   = 2                       // limit of a message's time left, in multiples of its class's deadline
 	// A message's time runs from the moment at which the client sent it, which the relay does not learn. The protocol
-	// allows 50 ms for transit; subtracting that here leaves the whole tolerance of the deadline for reporting the
-	// outcome.
+	// allows 50 ms for what is sent over sockets. They are subtracted here, so that the tolerance after the deadline
+	// remains for reporting the outcome.
 	transitAllowance        = 50 * time.Millisecond
 	transitAllowanceDivisor = 20 // the allowance is at most the time left divided by this
 	// A connection without a command is not evicted within this time of its accept: its first bytes may not have been
@@ -61,6 +61,7 @@
 	replied bool
 }
 
+// sendReply passes the reply on to the client, by way of the predecessor process where that forwarded the request.
 func (r *putRequest) sendReply(reply string) {
 	if r.forward != nil {
 		r.forward(reply)
@@ -162,8 +163,8 @@
 	evictionsLoggedAt clock.Instant
 	serving           bool // connections are accepted
 	drained           bool // set by DRAIN and reset by UNDRAIN
-	closing           bool // the client side is shutting down; never reset
-	handedOver        bool // closing, and the successor process of this relay accepts clients
+	shuttingDown      bool // the client side is shutting down; never reset
+	handedOver        bool // shutting down, and the successor process of this relay accepts clients
 }
 
 // clientConn is one client connection. Its fields are guarded by clients.mu, except for those marked otherwise.
@@ -200,13 +201,15 @@
 	cc.SetReadDeadline(clock.DeadlineIn(clock.Until(cc.clock, at)))
 }
 
-// beginClose ends the wait for the next request permanently, which closes the connection. A request whose first byte
-// has been read is answered first. The caller holds clients.mu.
+// beginClose ends the wait for the next request permanently, which closes the connection. Other goroutines close a
+// connection only in this way, so that a request whose first byte has been read is answered first. The caller holds
+// clients.mu.
 func (cc *clientConn) beginClose() {
 	cc.closing = true
 	cc.SetReadDeadline(clock.ExpiredDeadline)
 }
 
+// newClients returns the server side of the client protocol. It accepts no connections before serve is called.
 func newClients(cfg *Config, clk clock.Clock, log *slog.Logger, submit func(*putRequest),
 	replyWritten func(*putRequest, bool)) *clients {
 	maxConns, _ := cfg.socketBudget()
@@ -364,6 +367,7 @@
 	return found
 }
 
+// setServing records whether connections are accepted.
 func (c *clients) setServing(serving bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -378,16 +382,16 @@
 }
 
 // draining reports whether each connection is closed once it has no request in flight. The caller holds mu.
-func (c *clients) draining() bool { return c.drained || c.closing }
+func (c *clients) draining() bool { return c.drained || c.shuttingDown }
 
 // drainReason returns why the relay closes client connections, or an empty string where it does not.
 func (c *clients) drainReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.handedOver: // the successor process serves on, so the relay as a whole is not draining
+	case c.handedOver: // the successor process serves clients, so the relay as a whole is not draining
 		return ""
-	case c.closing:
+	case c.shuttingDown:
 		return "ending"
 	case c.drained:
 		return "drained"
@@ -410,7 +414,7 @@
 func (c *clients) shutDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
+	c.shuttingDown = true
 	c.closeIdleConns()
 }
 
@@ -422,13 +426,14 @@
 	c.shutDown()
 }
 
+// count returns the number of connections, closing ones included.
 func (c *clients) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// drain closes the client connections as shutDown does, but can be undone. Messages already taken are delivered as
+// drain closes the client connections as shutDown does, but can be undone. Messages accepted before are delivered as
 // usual.
 func (c *clients) drain() {
 	c.mu.Lock()
@@ -442,11 +447,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drained = false
-	return !c.closing
+	return !c.shuttingDown
 }
 
-// closeIdleConns closes the connections that have no request in flight. A connection without a command so far keeps
-// its timeout for the first one and is closed after that. The caller holds mu.
+// closeIdleConns closes the connections that have no request in flight. A connection without a command so far is kept
+// until its first command is answered or firstCommandTimeout has passed. The caller holds mu.
 func (c *clients) closeIdleConns() {
 	for cc := range c.conns {
 		if cc.inFlight == 0 && cc.sentCommand {
@@ -635,8 +640,8 @@
 		case open:
 			pipelined = &next
 		case !c.isClosing(cc):
-			// The client has disconnected, or has ended its side of the connection and may still read. The message
-			// is withdrawn in both cases.
+			// The client has disconnected, or has ended its side of the connection and may still read. In both
+			// cases the message is withdrawn: no attempt has begun, since its client had no reply.
 			c.replyWritten(request, false)
 			c.writeReply(cc, resp.Busy(0))
 			return false, nil
@@ -652,6 +657,7 @@
 	return ok, pipelined
 }
 
+// writeReply writes a reply and reports whether all of it was written.
 func (c *clients) writeReply(cc *clientConn, reply string) bool {
 	cc.SetWriteDeadline(clock.DeadlineIn(replyWriteTimeout))
 	_, err := writeAll(cc.Conn, []byte(reply))
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -357,7 +357,7 @@
 		after := start(settings(`{"deadline_us":9000000,"dedup_window_us":0,"group":"all","late_worth":0.1,"name":"new","repeat":"retryable","target_us":1,"worth":9}`,
 			other+","+acme, floors))
 		again, _ := decodeRecord(text)
-		again.markInFlightInDoubt()
+		again.markInFlightMayHaveRun()
 		after.restoreMessages([]*record{again}, nil)
 		e := after.policyEvents[len(after.policyEvents)-1]
 		if e.MayHaveRunZone != in || e.Tenant != 1 || e.OriginalClass.Name != "keyed" || *e.OriginalClass != keyed || e.OriginalMaxAttempts != 3 || e.Attempts != 1 || e.MayHaveRunAt == 0 {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -50,7 +50,7 @@
 	dest           int
 	zone           string
 	maxBatch       int  // messages that one call may carry
-	separateRoute  bool // a Retry-After applies to this endpoint alone, not to its whole destination
+	separateLimits bool // a Retry-After applies to this endpoint alone, not to its whole destination
 	hostPort       string
 	withdrawn      bool // drained or removed: no new call goes there
 	withdrawnAt    decide.Time
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -75,7 +75,7 @@
 	Call     uint64          `json:"call"`
 }
 
-// handoverOutcome reports the outcome of such a call for one message.
+// handoverOutcome reports the outcome of an inFlightCall.
 type handoverOutcome struct {
 	ID           string         `json:"id"`
 	Outcome      decide.Outcome `json:"what"`
@@ -155,7 +155,8 @@
 		for i := range messages {
 			p.conn.SetWriteDeadline(clock.DeadlineIn(peerWriteTimeout))
 			if err := enc.Encode(&messages[i]); err != nil {
-				if errors.Is(err, os.ErrDeadlineExceeded) { // the other process hangs, and part of a line may be written
+				// The other process hangs, and part of a line may be written.
+				if errors.Is(err, os.ErrDeadlineExceeded) {
 					p.conn.Close()
 				}
 				return
@@ -297,15 +298,15 @@
 	}
 	if state.Memory != nil {
 		for i := range state.Memory.Limiters {
-			lane := &state.Memory.Limiters[i]
-			for j := range lane.Endpoints {
-				entry := &lane.Endpoints[j]
+			limiter := &state.Memory.Limiters[i]
+			for j := range limiter.Endpoints {
+				entry := &limiter.Endpoints[j]
 				entry.Endpoint = currentNum(entry.Endpoint)
 				if at, ok := r.directory.Get(membership.Number(entry.Endpoint)); ok {
-					lane.Dest = at.Dest // earlier releases do not send it
+					limiter.Dest = at.Dest // earlier releases do not send it
 				}
 			}
-			lane.Endpoints = slices.DeleteFunc(lane.Endpoints,
+			limiter.Endpoints = slices.DeleteFunc(limiter.Endpoints,
 				func(entry decide.EndpointSnapshot) bool { return entry.Endpoint == 0 })
 		}
 		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: state.Memory})
@@ -376,12 +377,12 @@
 		if p == r.successor { // it ended before it took over
 			r.log.Warn("upgrade: the successor is gone; continuing to serve")
 			r.successor, r.successorReady = nil, false
-			r.setSharing(false)
+			r.setOtherProcessRuns(false)
 		}
 	case msg.Hello != nil && r.successor == nil && r.stoppingSince.IsZero():
 		r.log.Info("upgrade: a successor has connected")
 		r.successor = p
-		r.setSharing(true)
+		r.setOtherProcessRuns(true)
 		reading := clock.Read(r.clock)
 		p.send(handoverMessage{Hello: &handoverHello{PolicyNow: r.policyTime(reading.Now), Clock: reading}})
 	case msg.Ready && p == r.successor:
@@ -452,28 +453,28 @@
 
 var errPredecessorGone = errors.New("the process that made the call is gone")
 
-// setSharing halves the limits of this process or restores them. While two processes of a relay run,
-// the limits of the machine apply to both together.
-func (r *Relay) setSharing(sharing bool) {
-	r.sharing = sharing
+// setOtherProcessRuns records whether another process of this relay runs beside this one. While one
+// does, the limits of the machine apply to both together, so this process uses half of them.
+func (r *Relay) setOtherProcessRuns(runs bool) {
+	r.otherProcessRuns = runs
 	clients, endpoints := r.socketBudget()
 	r.clients.reconfigure(r.cfg, clients)
 	r.pool.configure(&r.cfg.Policy, endpoints)
 	limit := memoryLimit(r.cfg)
-	if sharing {
+	if runs {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	if sharing {
+	if runs {
 		debug.FreeOSMemory()
 	}
 }
 
 // socketBudget returns the configured numbers of sockets for clients and endpoints, halved while
-// another process runs.
+// another process of this relay runs.
 func (r *Relay) socketBudget() (clients, endpoints int) {
 	clients, endpoints = r.cfg.socketBudget()
-	if r.sharing {
+	if r.otherProcessRuns {
 		return clients / 2, endpoints / 2
 	}
 	return clients, endpoints
@@ -494,7 +495,7 @@
 	timeout := time.NewTimer(handOverTimeout)
 	defer timeout.Stop()
 	var deferred, batch []event
-	taken, gone := false, false
+	logTaken, gone := false, false
 	waitUntil := func(done func() bool) bool {
 		for !done() && !gone {
 			select {
@@ -510,7 +511,7 @@
 				case ev.peer == p && ev.peerMessage == nil:
 					gone = true
 				case ev.peer == p:
-					taken = taken || ev.peerMessage.LogTaken
+					logTaken = logTaken || ev.peerMessage.LogTaken
 				default:
 					deferred = append(deferred, ev)
 				}
@@ -527,7 +528,7 @@
 	}
 	if ok {
 		p.send(handoverMessage{State: r.collectHandoverState()})
-		if ok = waitUntil(func() bool { return taken }); !ok {
+		if ok = waitUntil(func() bool { return logTaken }); !ok {
 			switch err := r.wal.renameAndReopen(); {
 			case errors.Is(err, fs.ErrNotExist): // its LogTaken did not arrive, but it has the log
 				ok = true
@@ -543,7 +544,7 @@
 		listener.SetDeadline(time.Time{})
 		p.conn.Close()
 		r.successor = nil
-		r.setSharing(false)
+		r.setOtherProcessRuns(false)
 	} else {
 		r.handedOver = true
 		r.log.Info("upgrade: handed over", "took_ms", clock.Since(r.clock, began).Milliseconds(), "calls", r.callsInFlight)
@@ -562,8 +563,8 @@
 	state := &handoverState{LogName: filepath.Base(r.wal.path), EndpointIDs: map[decide.Endpoint]string{},
 		Memory: r.policy.Snapshot(),
 		Waits:  map[string]decide.Time{}}
-	for _, lane := range state.Memory.Limiters {
-		for _, memory := range lane.Endpoints {
+	for _, limiter := range state.Memory.Limiters {
+		for _, memory := range limiter.Endpoints {
 			state.EndpointIDs[memory.Endpoint], _ = r.directory.Text(membership.Number(memory.Endpoint))
 		}
 	}
@@ -587,9 +588,10 @@
 	return state
 }
 
-// finishAfterHandover is the event loop of a process that has handed over: it reports the outcomes of its
-// calls in flight, passes messages of its remaining clients to the successor, and returns when it has
-// neither calls nor clients, or at the end of the shutdown time after a stop.
+// finishAfterHandover is the event loop of a process that has handed over. It reports the outcomes of
+// its calls in flight and passes messages of its remaining clients to the successor. It returns when it
+// has neither calls nor clients, or at exitAfter after a stop. Once the successor is gone nobody takes
+// the outcomes, so it then returns as soon as it has no clients, with calls still in flight.
 func (r *Relay) finishAfterHandover() {
 	r.clients.handOver()
 	r.pool.configure(&r.cfg.Policy, r.callsInFlight+1)
@@ -604,7 +606,7 @@
 	defer tick.Stop()
 	var batch []event
 	reading := true
-	for lost := false; ; {
+	for successorGone := false; ; {
 		select {
 		case <-r.inbox.ready:
 		case <-tick.C:
@@ -612,7 +614,7 @@
 		batch = r.inbox.takeAll(batch)
 		for _, ev := range batch {
 			switch {
-			case ev.submitted != nil && lost:
+			case ev.submitted != nil && successorGone:
 				ev.submitted.sendReply(resp.Busy(shutdownRetryMS))
 			case ev.submitted != nil && forwarded[ev.submitted.record.ID] != nil:
 				ev.submitted.sendReply(resp.Error(errors.New("id is being handed in already")))
@@ -623,7 +625,7 @@
 				r.successor.send(handoverMessage{ReplyWritten: &handoverReplyWritten{ev.replied.record.ID, ev.ok}})
 			case ev.peer == r.successor && ev.peerMessage == nil:
 				r.log.Error("upgrade: the successor is gone after it took over")
-				lost = true
+				successorGone = true
 				for id, req := range forwarded {
 					req.sendReply(resp.Busy(shutdownRetryMS))
 					delete(forwarded, id)
@@ -658,7 +660,7 @@
 		}
 		timedOut := !r.stoppingSince.IsZero() && clock.Since(r.clock, r.stoppingSince) >= exitAfter
 		if openClients := r.clients.count(); timedOut ||
-			(r.callsInFlight == 0 || lost) && len(forwarded) == 0 && openClients == 0 {
+			(r.callsInFlight == 0 || successorGone) && len(forwarded) == 0 && openClients == 0 {
 			r.log.Info("upgrade: finished after hand-over", "calls", r.callsInFlight, "clients", openClients)
 			r.successor.flush()
 			return
@@ -678,8 +680,8 @@
 
 // forwardOutcome reports the outcome of an attempt to the successor, which owns the message now.
 func (r *Relay) forwardOutcome(msg *message, result *callResult) {
-	report := &handoverOutcome{ID: msg.rec.ID, Outcome: result.outcome, RetryAfter: result.retryAfter, SlotsTaken: result.slotsTaken,
-		TooManyConns: result.tooManyConns, Settled: result.settled, Elapsed: result.elapsed,
+	report := &handoverOutcome{ID: msg.rec.ID, Outcome: result.outcome, RetryAfter: result.retryAfter,
+		SlotsTaken: result.slotsTaken, TooManyConns: result.tooManyConns, Settled: result.settled, Elapsed: result.elapsed,
 		Load: result.load, Status: result.status, Malformed: result.malformed}
 	if result.err != nil {
 		report.Err = result.err.Error()
@@ -695,7 +697,7 @@
 		sleep(ctx, lockPollInterval)
 		var unread []int
 		for slot, lock := slots.lockFreedSlot(); slot >= 0; slot, lock = slots.lockFreedSlot() {
-			err := r.wal.adoptSlot(slot, lock, func(owed []*record) { r.inbox.put(event{recovered: owed}) })
+			err := r.wal.adoptSlot(slot, lock, func(pending []*record) { r.inbox.put(event{recovered: pending}) })
 			if err == nil {
 				continue
 			}
@@ -731,7 +733,7 @@
 			return nil, fmt.Errorf("listen: ROUTER_SOCKET_FD: %s is not TCP", listener.Addr().Network())
 		}
 		if tcpListener.Addr().String() != cfg.ListenAddr {
-			log.Warn("the socket of ROUTER_SOCKET_FD is bound to another address than the configured listen",
+			log.Warn("the socket of ROUTER_SOCKET_FD is not bound to the configured listen address",
 				"socket", tcpListener.Addr().String(), "listen", cfg.ListenAddr)
 		}
 		return tcpListener, nil
--- a/internal/relay/hangup.go
+++ b/internal/relay/hangup.go
@@ -11,9 +11,9 @@
 	"troutusher/internal/resp"
 )
 
-// Closing a TCP connection while received bytes are unread, or before the peer has closed its side, may reset it, and
-// replies that the client has not received are lost. The relay therefore closes its sending side first and discards
-// what arrives until the client has closed its side, or for a short time.
+// Closing a TCP connection while received bytes are unread, or before the client has closed its side, may reset it.
+// A reset loses the replies that the client has not received yet. The relay therefore closes its sending side first
+// and discards what arrives until the client has closed its side, or for a short time.
 
 const (
 	lingerTimeout        = 200 * time.Millisecond // from closing the sending side to closing the connection
@@ -47,8 +47,8 @@
 }
 
 // replyToRemaining stops the reading goroutine of a connection that is being closed, and answers the commands that it
-// had read by then. Messages are refused with a busy reply. Replies are matched by their order, so commands before
-// the last message get an error reply, and those after it get none.
+// had read by then. Messages are refused with a busy reply, so that nothing is begun for them. Replies are matched by
+// their order, so other commands before the last message get an error reply, and those after it get none.
 func (c *clients) replyToRemaining(cc *clientConn, pipelined *clientCommand, commands <-chan clientCommand) {
 	c.stopReading(cc)
 	var remaining []clientCommand
@@ -75,6 +75,7 @@
 
 var errTooManyErrors = errors.New("too many faults on this connection")
 
+// isPut reports whether a command hands in a message.
 func isPut(cmd clientCommand) bool {
 	return cmd.err == nil && bytes.EqualFold(cmd.args[0], []byte("MSG.PUT"))
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -23,15 +23,16 @@
 
 // Shutdown and startup times. The shutdown times count from SIGTERM; a relay is killed 3.7 s after it.
 const (
-	closeListenerAfter    = 1000 * time.Millisecond // until then clients may still connect
-	stopUnsafeCallsAfter  = 1200 * time.Millisecond // an unsafe message whose call is cut short would be lost
-	stopCallsAfter        = 2200 * time.Millisecond // no call of any class begins after this
-	stopReadingAfter      = 3100 * time.Millisecond // nothing more is read from clients after this
-	exitAfter             = 3300 * time.Millisecond // calls still in flight then stay open in the log
-	shutdownRetryMS       = 400                     // ms after which a refused client may retry, at another relay
-	initialListTimeout    = 1500 * time.Millisecond // how long the start waits for the first list
-	knownListTimeout      = 300 * time.Millisecond  // the same if the configuration has a list: clients are waiting
-	goneEndpointRetention = decide.Time(10e6)       // how long an endpoint that left the list is remembered
+	closeListenerAfter = 1000 * time.Millisecond // until then clients may still connect
+	// No non-idempotent call begins after this: its message would be lost if the exit cut the call short.
+	stopNonIdempotentCallsAfter = 1200 * time.Millisecond
+	stopCallsAfter              = 2200 * time.Millisecond // no call of any class begins after this
+	stopReadingAfter            = 3100 * time.Millisecond // nothing more is read from clients after this
+	exitAfter                   = 3300 * time.Millisecond // the process exits; calls in flight stay open in the log
+	shutdownRetryMS             = 400                     // ms after which a refused client may retry, at another relay
+	initialListTimeout          = 1500 * time.Millisecond // how long the start waits for the first list
+	knownListTimeout            = 300 * time.Millisecond  // the same if the configuration has a list: clients are waiting
+	withdrawnEndpointRetention  = decide.Time(10e6)       // how long an endpoint is remembered after it left the list
 	// policyEpoch is the policy's time at the clock's origin. It is large so that times left by an
 	// earlier process, which lie before the origin, stay positive: the policy requires times of 1 or more.
 	policyEpoch = decide.Time(1 << 45)
@@ -48,7 +49,7 @@
 	ended              bool          // the policy has ended it, or has been told that it ended
 	attempts           int           // attempts so far, counting those of earlier processes
 	lastAttemptAt      clock.Instant // start of the last attempt
-	inDoubtSince       clock.Instant // start of the first attempt that may have run; zero if there is none
+	mayHaveRunAt       clock.Instant // start of the first attempt that may have run; zero if there is none
 	attemptDeadline    decide.Time   // when the last attempt times out
 	dedupWindowUnknown bool          // an earlier process made the attempt that may have run, at an unknown time
 	pendingCall        *call         // not started yet: it waits until the clients of all its messages have their replies
@@ -63,12 +64,12 @@
 func (m *message) repeatUntil() clock.Instant {
 	rules := m.rec.Rules
 	switch {
-	case m.inDoubtSince.IsZero() || rules == nil || rules.Idempotency != decide.Deduplicated:
+	case m.mayHaveRunAt.IsZero() || rules == nil || rules.Idempotency != decide.Deduplicated:
 		return 0
 	case m.dedupWindowUnknown:
-		return 1
+		return 1 // the window counts as over
 	}
-	return m.inDoubtSince + clock.Instant(rules.DedupWindow)
+	return m.mayHaveRunAt + clock.Instant(rules.DedupWindow)
 }
 
 // latestExpiredAttempt returns the latest start of an attempt, in the policy's time, whose
@@ -127,7 +128,7 @@
 	endpointBuffer    []membership.Endpoint
 	drainPending      atomic.Bool                   // drainAnnounced is in the inbox and not handled yet
 	endpoints         map[decide.Endpoint]*endpoint // those with calls in flight or state to remember
-	forgetCandidates  []*endpoint                   // to be checked for whether they can be forgotten
+	forgetCandidates  []*endpoint                   // endpoints that forgetEndpoints checks
 	policyEvents      []decide.Event                // input of the policy's next step
 	actions           []decide.Action
 	formingCalls      []*call    // calls formed in the current step
@@ -142,14 +143,14 @@
 	successor         *peer // the process that takes over from this one, or has done so
 	successorReady    bool  // the successor is ready to take over
 	handedOver        bool  // the successor has taken over
-	sharing           bool  // another process of this relay runs beside this one
+	otherProcessRuns  bool  // another process of this relay runs beside this one
 	untried           untriedCounts
 	unlistedOutages   map[string]decide.OutageSnapshot // recovered at startup, of endpoints that no list has named yet
 	reload            Reload
 	ctx               context.Context
 
 	listener   *net.TCPListener
-	listenErr  error // why listening early failed
+	listenErr  error // why listenEarly failed
 	recovering bool  // the state folder has failed since the start and has not been read yet
 	logFailing bool  // nothing can be written to the log
 }
@@ -176,9 +177,9 @@
 // instant converts the policy's time to an instant.
 func (r *Relay) instant(t decide.Time) clock.Instant { return clock.Instant(t - r.epoch) }
 
-// Run serves until the shutdown that follows the closing of stop is complete, until the process has
-// handed over to a successor and finished its own calls, or until an error that prevents serving.
-// All times are taken from clk.
+// Run serves until stop is closed and the shutdown that follows is complete, until the process has
+// handed over to a successor and finished its own calls and clients, or until an error prevents
+// serving. The time is read from clk; waits use the timers of package time.
 func Run(cfg *Config, clk clock.Clock, log *slog.Logger, stop <-chan struct{}, reload Reload) error {
 	policy, err := decide.New(cfg.Policy, cfg.Seed)
 	if err != nil {
@@ -220,7 +221,7 @@
 		return nil
 	}
 	defer slots.release()
-	r.setSharing(len(slots.otherSlots) > 0)
+	r.setOtherProcessRuns(len(slots.otherSlots) > 0)
 	predecessor := r.dialPredecessor()
 	knownRevision := int64(-1)
 	if n, _ := r.directory.Len(); n > 0 {
@@ -279,7 +280,7 @@
 	endpoints, destinations := r.directory.Len()
 	log.Info("ready", "name", cfg.Name, "listen", listener.Addr().String(), "endpoints", endpoints,
 		"destinations", destinations, "owed", len(unfinished),
-		"out", len(predecessorCalls), "beside_another", r.sharing)
+		"out", len(predecessorCalls), "beside_another", r.otherProcessRuns)
 	r.loop(listener)
 	return nil
 }
@@ -322,8 +323,8 @@
 			continue // an id has one message at a time
 		}
 		msg := r.newMessage(rec)
-		msg.acknowledged, msg.logged, msg.attempts, msg.lastAttemptAt, msg.inDoubtSince =
-			true, true, rec.Attempts, rec.InFlightSince, rec.InDoubtSince
+		msg.acknowledged, msg.logged, msg.attempts, msg.lastAttemptAt, msg.mayHaveRunAt =
+			true, true, rec.Attempts, rec.InFlightSince, rec.MayHaveRunAt
 		msg.dedupWindowUnknown = rec.DedupWindowUnknown
 		if rec.Notice != "" {
 			msg.ended = true
@@ -332,7 +333,7 @@
 			r.notices.incoming.put(notice{rec.ID, rec.Notice, rec.RetryMS, rec.Deadline})
 			continue
 		}
-		if rec.Rules == nil { // a record of an earlier release, which did not log them
+		if rec.Rules == nil { // earlier releases did not log the rules
 			if class, ok := r.cfg.classes[rec.Class]; ok {
 				rec.Rules, rec.MaxAttempts = &r.cfg.Policy.Classes[class], r.cfg.Policy.MaxAttempts
 			} else { // whether the message may be repeated is not known
@@ -344,9 +345,9 @@
 		}
 		policyEvent := decide.Event{Kind: decide.EvMessage, Message: msg.num, Dest: rec.Dest, Tenant: -1,
 			OriginalClass: rec.Rules, OriginalMaxAttempts: rec.MaxAttempts,
-			TimeLeft: r.policyTime(rec.Deadline) - r.now(), Attempts: rec.Attempts, MayHaveRunZone: rec.InDoubtZoneIndex}
-		if rec.InDoubtZoneName != "" {
-			if policyEvent.MayHaveRunZone = indexOf(r.cfg.zones, rec.InDoubtZoneName); policyEvent.MayHaveRunZone < 0 {
+			TimeLeft: r.policyTime(rec.Deadline) - r.now(), Attempts: rec.Attempts, MayHaveRunZone: rec.MayHaveRunZoneIndex}
+		if rec.MayHaveRunZoneName != "" {
+			if policyEvent.MayHaveRunZone = indexOf(r.cfg.zones, rec.MayHaveRunZoneName); policyEvent.MayHaveRunZone < 0 {
 				policyEvent.MayHaveRunZone-- // a zone that is no longer configured, which no endpoint matches
 			}
 		}
@@ -354,8 +355,8 @@
 		if t, ok := r.cfg.tenants[rec.Tenant]; ok {
 			policyEvent.Tenant = t
 		}
-		if rec.InDoubtSince != 0 {
-			policyEvent.MayHaveRunAt = r.policyTime(rec.InDoubtSince)
+		if rec.MayHaveRunAt != 0 {
+			policyEvent.MayHaveRunAt = r.policyTime(rec.MayHaveRunAt)
 			if rec.DedupWindowUnknown {
 				policyEvent.MayHaveRunAt = latestExpiredAttempt(rec.Rules, r.now())
 			}
@@ -376,7 +377,7 @@
 		}
 		r.policyEvents = append(r.policyEvents, policyEvent)
 		r.log.Info("resumed", "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
-			"may_have_run", rec.InDoubtSince != 0, "out", msg.call != nil,
+			"may_have_run", rec.MayHaveRunAt != 0, "out", msg.call != nil,
 			"left", time.Duration(policyEvent.TimeLeft)*time.Microsecond)
 	}
 }
@@ -468,7 +469,7 @@
 	}
 	cutoff := stopCallsAfter
 	if msg.rec.Rules.Idempotency == decide.NonIdempotent {
-		cutoff = stopUnsafeCallsAfter
+		cutoff = stopNonIdempotentCallsAfter
 	}
 	return clock.Since(r.clock, r.stoppingSince) >= cutoff
 }
@@ -493,7 +494,7 @@
 	case ev.recovered != nil:
 		r.restoreMessages(ev.recovered, nil)
 	case ev.soleProcess:
-		r.setSharing(false)
+		r.setOtherProcessRuns(false)
 	case ev.logState != logUnchanged:
 		r.handleLogState(ev.logState)
 	case ev.forwarded != nil:
@@ -531,7 +532,8 @@
 	case existing != nil:
 		req.sendReply(resp.Error(errors.New("id is being handed in already")))
 		return
-	case r.endedReplies.reply(req.record.ID) != "": // accepted and ended before: sent once more it could run again
+	case r.endedReplies.reply(req.record.ID) != "":
+		// It was accepted and has ended. Accepted once more, it could run a second time.
 		req.sendReply(r.endedReplies.reply(req.record.ID))
 		return
 	case !r.directory.Knows(req.record.Dest):
@@ -622,8 +624,9 @@
 }
 
 // endedReplies holds the replies for accepted messages that have ended, in case one is handed in again
-// under the same id: by a client whose connection broke, or by a peer that resends what it has seen. Two
-// generations are kept, so that a reply is kept for at least the retention time after the message's end.
+// under the same id: by a client whose connection broke, or by a sender that repeats what it has seen.
+// Two generations are kept, so that a reply is kept for at least the retention time after the message's
+// end.
 type endedReplies struct {
 	current, previous map[string]string
 	rotatedAt         decide.Time
@@ -736,7 +739,7 @@
 		return
 	}
 	msg.ended = true
-	if msg.call != nil { // before the client or the platform is told
+	if msg.call != nil { // before the client or the platform's agent is told
 		msg.call.removeMessage(msg)
 	}
 	retryMS := (action.After + 999) / 1000
@@ -777,7 +780,7 @@
 	return clock.Until(r.clock, msg.rec.Deadline).Milliseconds()
 }
 
-// reportEnd logs how a message ended and queues the notice for the platform.
+// reportEnd logs how a message ended and queues the notice for the platform's agent.
 func (r *Relay) reportEnd(msg *message, outcomeName string, retryMS int64) {
 	if outcomeName == noticeGivenUp {
 		retryMS = 0
@@ -888,8 +891,8 @@
 	if len(c.msgs) == 0 {
 		return
 	}
-	// The message with the latest timeout comes first: an endpoint may take the whole call to end with
-	// its first message, and no longer answer for the others.
+	// The message with the latest timeout comes first: an endpoint may apply the first message's timeout
+	// to the whole call and then not answer for the others.
 	slices.SortStableFunc(c.msgs, func(a, b *message) int { return cmp.Compare(b.attemptDeadline, a.attemptDeadline) })
 	c.ctx, c.cancel = context.WithCancelCause(r.ctx)
 	c.ep.calls[c] = true
@@ -955,12 +958,12 @@
 		}
 	}
 	// No list names the destination of an unlisted endpoint.
-	if apply(source); source.separateRoute || source.num >= unlistedEndpointBit {
+	if apply(source); source.separateLimits || source.num >= unlistedEndpointBit {
 		return
 	}
 	r.endpointBuffer = r.directory.Endpoints(source.dest, r.endpointBuffer[:0])
 	for i := range r.endpointBuffer {
-		if ep := r.endpoint(decide.Endpoint(r.endpointBuffer[i].Number)); ep != source && !ep.separateRoute {
+		if ep := r.endpoint(decide.Endpoint(r.endpointBuffer[i].Number)); ep != source && !ep.separateLimits {
 			apply(ep)
 		}
 	}
@@ -1002,11 +1005,11 @@
 	if started {
 		msg.call = nil
 		switch {
-		case !msg.inDoubtSince.IsZero():
-		case result.outcome.NeverRan(): // no attempt so far may have run, so no time is unknown
+		case !msg.mayHaveRunAt.IsZero():
+		case result.outcome.NeverRan(): // no attempt has run, so there is no unknown window
 			msg.dedupWindowUnknown = false
 		default:
-			msg.inDoubtSince = msg.lastAttemptAt
+			msg.mayHaveRunAt = msg.lastAttemptAt
 		}
 		if c.unfinished--; c.unfinished == 0 {
 			r.callsInFlight--
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -196,10 +196,10 @@
 		ep.hostPort, ep.dest = hostPort, listed.Dest
 	}
 	p := r.directory.Attributes(listed.AttributesID)
-	ep.zone, ep.maxBatch, ep.separateRoute = p.Locality[:min(len(p.Locality), maxZoneNameBytes)], 1, false
+	ep.zone, ep.maxBatch, ep.separateLimits = p.Locality[:min(len(p.Locality), maxZoneNameBytes)], 1, false
 	if i := indexOf(r.cfg.kinds, p.Flavor); i >= 0 && i < len(r.cfg.Policy.Kinds) {
 		kind := r.cfg.Policy.Kinds[i]
-		ep.maxBatch, ep.separateRoute = max(kind.MaxBatch, 1), kind.SeparateLimits
+		ep.maxBatch, ep.separateLimits = max(kind.MaxBatch, 1), kind.SeparateLimits
 	}
 	if listed.Phase != membership.Up {
 		r.withdrawEndpoint(ep)
@@ -254,7 +254,7 @@
 		switch {
 		case !ep.withdrawn && !ep.released: // it is in use again
 			ep.forgetQueued = false
-		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.withdrawnAt+goneEndpointRetention:
+		case len(ep.calls) > 0 || now <= ep.waitUntil || !ep.released && now <= ep.withdrawnAt+withdrawnEndpointRetention:
 			r.forgetCandidates = append(r.forgetCandidates, ep)
 		default:
 			if ep.forgetQueued = false; ep.conns != nil {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -129,9 +129,9 @@
 	return ""
 }
 
-// runPerAddress runs work for an address until another one arrives in newAddrs, then for that one, until
-// ctx ends. work must return when its context ends, so that work for the old and the new address does
-// not overlap.
+// runPerAddress runs work for addr. Whenever an address arrives in newAddrs it ends that work and runs
+// work for the newest address, until ctx ends. work must return when its context ends, so that work for
+// the old and the new address does not overlap.
 func runPerAddress(ctx context.Context, addr string, newAddrs *mailbox[string],
 	work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
--- a/internal/relay/start.go
+++ b/internal/relay/start.go
@@ -57,7 +57,7 @@
 	switch {
 	case err == nil:
 		r.listener = listener
-		r.setSharing(r.sharing)
+		r.setOtherProcessRuns(r.otherProcessRuns)
 		go r.clients.serve(listener)
 	case !errors.Is(err, syscall.EADDRINUSE):
 		r.listenErr = err
@@ -103,7 +103,7 @@
 	if r.listener != nil || r.listenErr != nil {
 		return r.listener, r.listenErr
 	}
-	listener, err := listen(r.cfg, r.sharing, r.clock, r.log)
+	listener, err := listen(r.cfg, r.otherProcessRuns, r.clock, r.log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -31,12 +31,13 @@
 	minCompactionBytes  = 1 << 20   // shorter logs are not worth compacting
 	messageStateBytes   = 300       // by which the later state of a message may lengthen its record
 	maxZoneNameBytes    = 48        // longer zone names are truncated
-	classRulesBytes     = 320       // at most, for the rules of a class without the class name
+	classRulesBytes     = 320       // most that the rules of a class take, without its name
 	// Outage records take at most 1/outageDiskDivisor of the disk limit, each about outageRecordBytes.
 	// The newest are kept.
 	outageDiskDivisor = 32
 	outageRecordBytes = 256
-	// The same holds for the ids of ended messages, of classes that are not safe to repeat.
+	// Ids of ended messages are kept for classes that are not idempotent. They take at most
+	// 1/endedDiskDivisor of the disk limit, each about endedRecordBytes. The newest are kept.
 	endedDiskDivisor = 32
 	endedRecordBytes = 160
 )
@@ -61,8 +62,9 @@
 	recordClock    recordKind = "clock"   // the clock of the instants in the records that follow
 )
 
-// record is one entry of the log. Its instants belong to the clock of the last clock record before
-// it. Logs of earlier releases have no clock records; their instants are Unix microseconds.
+// record is one entry of the log. Its instants were read from the clock that the last clock record
+// before it describes. Logs of earlier releases have no clock records; their instants are Unix
+// microseconds.
 type record struct {
 	Kind   recordKind `json:"kind"`
 	ID     string     `json:"id"`
@@ -81,15 +83,17 @@
 	MayHaveRun bool   `json:"ran,omitempty"`
 	Notice     string `json:"notice,omitempty"` // recordEnding: the outcome that the notice reports
 	RetryMS    int64  `json:"retry_ms,omitempty"`
-	// The fields up to DedupWindowUnknown are the state of a message after its earlier records.
+	// Attempts is the number of attempts so far. Attempts and the fields from MayHaveRunAt to
+	// DedupWindowUnknown stand in recordAccepted: the state of the message after its earlier records.
 	Attempts int `json:"tries,omitempty"`
-	// Rules of the class in recordAccepted: the configuration of the next start may not have the class.
+	// Rules and MaxAttempts in recordAccepted are those that the message was accepted with: the
+	// configuration of the next start may not have its class.
 	Rules       *decide.Class `json:"rules,omitempty"`
 	MaxAttempts int           `json:"most,omitempty"`
-	// InDoubtSince is when the first attempt that may have run was sent; zero for none.
-	InDoubtSince     clock.Instant `json:"doubt,omitempty"`
-	InDoubtZoneIndex int           `json:"doubt_in,omitempty"`
-	InDoubtZoneName  string        `json:"doubt_on,omitempty"`
+	// MayHaveRunAt is when the first attempt that may have run was sent; zero for none.
+	MayHaveRunAt        clock.Instant `json:"doubt,omitempty"`
+	MayHaveRunZoneIndex int           `json:"doubt_in,omitempty"`
+	MayHaveRunZoneName  string        `json:"doubt_on,omitempty"`
 	// InFlightSince is when the attempt that has no outcome yet was sent; zero for none.
 	InFlightSince     clock.Instant `json:"out,omitempty"`
 	InFlightZoneIndex int           `json:"out_in,omitempty"`
@@ -118,10 +122,11 @@
 		r.Attempts++
 		r.InFlightSince, r.InFlightZoneIndex, r.InFlightZoneName = later.At, later.ZoneIndex, later.ZoneName
 	case recordOutcome:
-		if later.MayHaveRun && r.InDoubtSince == 0 {
-			r.InDoubtSince, r.InDoubtZoneIndex, r.InDoubtZoneName = r.InFlightSince, r.InFlightZoneIndex, r.InFlightZoneName
+		if later.MayHaveRun && r.MayHaveRunAt == 0 {
+			r.MayHaveRunAt, r.MayHaveRunZoneIndex, r.MayHaveRunZoneName =
+				r.InFlightSince, r.InFlightZoneIndex, r.InFlightZoneName
 		}
-		if r.InDoubtSince == 0 {
+		if r.MayHaveRunAt == 0 {
 			r.DedupWindowUnknown = false
 		}
 		r.InFlightSince, r.InFlightZoneIndex, r.InFlightZoneName = 0, 0, ""
@@ -130,8 +135,8 @@
 	}
 }
 
-// markInFlightInDoubt treats an attempt without an outcome as one that may have run.
-func (r *record) markInFlightInDoubt() {
+// markInFlightMayHaveRun treats an attempt without an outcome as one that may have run.
+func (r *record) markInFlightMayHaveRun() {
 	if r.InFlightSince != 0 {
 		r.update(&record{Kind: recordOutcome, MayHaveRun: true})
 	}
@@ -222,7 +227,8 @@
 	done              chan struct{}
 	buffer            []byte
 	health            walHealth
-	// removeRecovered removes the logs whose contents were recovered, once this log holds them; nil when that is done.
+	// removeRecovered removes the logs whose contents were recovered, once this log holds them; nil when
+	// that is done.
 	removeRecovered func()
 }
 
@@ -257,7 +263,7 @@
 			return nil, nil, err
 		}
 		for _, path := range files {
-			slots.folder.Remove(path + compactionSuffix) // a compaction that a kill interrupted
+			slots.folder.Remove(path + compactionSuffix) // left by a compaction that a kill interrupted
 			size, err := w.recoverFile(path)
 			if err != nil {
 				return nil, nil, err
@@ -268,7 +274,7 @@
 	}
 	for _, live := range w.pending {
 		if !inFlight(live.rec.ID) {
-			live.rec.markInFlightInDoubt()
+			live.rec.markInFlightMayHaveRun()
 		}
 	}
 	w.otherLogsBytes.Store(slots.otherLogsBytes())
@@ -277,8 +283,8 @@
 }
 
 // compactAtStart writes everything recovered to one log of this process. Until that succeeds the
-// recovered files stay in place and their slots stay locked. If the compaction fails and the only
-// recovered file is this process's own, that file stays in use.
+// recovered files stay in place and their slots stay locked. If the compaction fails and no file was
+// recovered but this process's own, that file is opened, or created if there is none.
 func (w *wal) compactAtStart(recoveredPaths []string) {
 	w.removeRecovered = func() {
 		for _, path := range recoveredPaths {
@@ -304,7 +310,8 @@
 	w.failWrites("start", err)
 }
 
-// pendingRecords returns copies of the records of all pending messages, in order.
+// pendingRecords returns copies of the records of all pending messages, in the order in which they were
+// first seen.
 func (w *wal) pendingRecords() []*record {
 	var pending []*record
 	for _, live := range bySequence(w.pending) {
@@ -316,7 +323,8 @@
 
 // recoverFile adds the contents of a log file to the recovered state and returns the file's size. A
 // message is in two files if a process was killed between writing it to one and removing the other.
-// Both copies are merged into one message, with the most that either copy knows of it.
+// The copy with more attempts is kept. An attempt that may have run, an unknown deduplication window
+// and a notice are added to it if only the other copy has them.
 func (w *wal) recoverFile(path string) (int64, error) {
 	data, err := w.slots.folder.Read(path)
 	if err != nil {
@@ -345,9 +353,9 @@
 		if live.rec.Attempts > existing.rec.Attempts {
 			live.rec, existing.rec = existing.rec, live.rec
 		}
-		if existing.rec.InDoubtSince == 0 {
-			existing.rec.InDoubtSince, existing.rec.InDoubtZoneIndex, existing.rec.InDoubtZoneName =
-				live.rec.InDoubtSince, live.rec.InDoubtZoneIndex, live.rec.InDoubtZoneName
+		if existing.rec.MayHaveRunAt == 0 {
+			existing.rec.MayHaveRunAt, existing.rec.MayHaveRunZoneIndex, existing.rec.MayHaveRunZoneName =
+				live.rec.MayHaveRunAt, live.rec.MayHaveRunZoneIndex, live.rec.MayHaveRunZoneName
 		}
 		existing.rec.DedupWindowUnknown = existing.rec.DedupWindowUnknown || live.rec.DedupWindowUnknown
 		if existing.rec.Notice == "" {
@@ -372,7 +380,7 @@
 		return err
 	}
 	for _, live := range recovered.pending {
-		live.rec.markInFlightInDoubt()
+		live.rec.markInFlightMayHaveRun()
 	}
 	w.queue.put(walOp{action: func() {
 		var pending []*record
@@ -381,7 +389,7 @@
 				continue
 			}
 			rec.Kind = recordAccepted
-			if err := w.append(rec, true); err != nil { // the message stays pending
+			if err := w.append(rec, true); err != nil { // the loop gets the message all the same: it was accepted
 				w.log.Error("log: record not written", "kind", rec.Kind, "message", rec.ID, "err", err)
 			}
 			copied := *rec
@@ -454,7 +462,8 @@
 	case rec.Kind == recordEnd:
 		w.reservedBytes -= live.reservedBytes
 		delete(w.pending, rec.ID)
-		if rules := live.rec.Rules; rules != nil && rules.Idempotency != decide.Idempotent && (rec.MayHaveRun || live.rec.Notice != "") {
+		if rules := live.rec.Rules; rules != nil && rules.Idempotency != decide.Idempotent &&
+			(rec.MayHaveRun || live.rec.Notice != "") {
 			w.storeEndedID(&record{Kind: recordEndedID, ID: rec.ID, Notice: live.rec.Notice, RetryMS: live.rec.RetryMS,
 				Deadline: live.rec.Deadline + clock.Instant(rules.Deadline)})
 		}
@@ -492,7 +501,7 @@
 	w.reservedBytes += w.outagesByEndpoint[rec.ID].reservedBytes
 }
 
-// storeEndedID remembers the id of an ended message for as long as a client or another process may
+// storeEndedID remembers the id of an ended message for as long as a client or another sender may
 // submit the message again. If the ids exceed their share of the disk limit the oldest are dropped.
 func (w *wal) storeEndedID(rec *record) {
 	now := w.now()
@@ -526,6 +535,7 @@
 // outageRecords returns copies of the outage records, oldest first.
 func (w *wal) outageRecords() []*record { return copyRecords(w.outagesByEndpoint) }
 
+// copyRecords returns copies of the records, in the order in which they were first seen.
 func copyRecords(records map[string]*liveRecord) []*record {
 	var copied []*record
 	for _, live := range bySequence(records) {
@@ -628,7 +638,8 @@
 	return nil
 }
 
-// complete reports whether the file of a halted wal holds everything that is known.
+// complete reports whether the file of a halted wal holds all its records: none is postponed, and none
+// stands only in a recovered file.
 func (w *wal) complete() bool {
 	return w.file != nil && len(w.health.postponed) == 0 && w.removeRecovered == nil
 }
@@ -693,6 +704,7 @@
 	}
 }
 
+// close closes the file, if one is open.
 func (w *wal) close() {
 	if w.file != nil {
 		w.file.Close()
@@ -732,8 +744,8 @@
 	return w.postpone(rec, err)
 }
 
-// appendFailing is append while the state folder fails. New messages are refused. Any other record
-// is attempted, since a short write may succeed where a long one fails.
+// appendFailing appends a record while the state folder fails. New messages are refused. The write of
+// any other record is attempted, since a short write may succeed where a long one fails.
 func (w *wal) appendFailing(rec *record, adopted bool) error {
 	if rec.Kind == recordAccepted && !adopted {
 		return errFolderUnwritable
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -137,7 +137,7 @@
 			if !w.health.failing || notified {
 				t.Fatal("the log counts as working, or the notice was sent, while the folder fails")
 			}
-			if found := recoverCopy(t, dir); len(found) != 4 || found["unsafe"].InDoubtSince != 20 ||
+			if found := recoverCopy(t, dir); len(found) != 4 || found["unsafe"].MayHaveRunAt != 20 ||
 				found["ended"].Notice != "" {
 				t.Errorf("killed meanwhile: recovered %d messages, want 4 in their old state", len(found))
 			}
@@ -150,10 +150,10 @@
 			if len(found) != 3 || found["done"] != nil {
 				t.Fatalf("recovered %d messages, want 3 without \"done\"", len(found))
 			}
-			if r := found["unsafe"]; r.Attempts != 1 || r.InDoubtSince != 0 || r.InFlightSince != 0 {
+			if r := found["unsafe"]; r.Attempts != 1 || r.MayHaveRunAt != 0 || r.InFlightSince != 0 {
 				t.Errorf("unsafe: recovered %+v", r)
 			}
-			if r := found["safe"]; r.Attempts != 1 || r.InDoubtSince != 30 {
+			if r := found["safe"]; r.Attempts != 1 || r.MayHaveRunAt != 30 {
 				t.Errorf("safe: recovered %+v", r)
 			}
 			if r := found["ended"]; r.Notice != noticeHandedBack || r.RetryMS != 7 {
@@ -308,7 +308,7 @@
 			t.Fatal(err)
 		}
 		found := recoverCopy(t, dir)
-		if len(found) != 2 || found["a"].InDoubtSince != 5 || found["b"].Attempts != 0 {
+		if len(found) != 2 || found["a"].MayHaveRunAt != 5 || found["b"].Attempts != 0 {
 			t.Fatalf("killed after %d bytes: recovered %d messages, want 2 in their old state", killAfter, len(found))
 		}
 		if folder.killAfter > 0 {
@@ -342,7 +342,7 @@
 				mustAppend(t, w, last)
 				found := ""
 				for id, r := range recoverCopy(t, dir) {
-					found += fmt.Sprint(id, r.Attempts, r.InDoubtSince, r.Notice, " ")
+					found += fmt.Sprint(id, r.Attempts, r.MayHaveRunAt, r.Notice, " ")
 				}
 				return strings.Join(slices.Sorted(slices.Values(strings.Fields(found))), " ")
 			}
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -183,7 +183,7 @@
 	id            string
 	repeat        decide.Idempotency
 	deadline      clock.Instant
-	inDoubtSince  clock.Instant // send of the first attempt that may have run; zero for none
+	mayHaveRunAt  clock.Instant // send of the first attempt that may have run; zero for none
 	inFlightSince clock.Instant // send of the attempt in flight; zero for none
 	notice        string
 	noticeSent    bool
@@ -255,10 +255,10 @@
 	found := map[string]*record{}
 	for _, rec := range pending {
 		found[rec.ID] = rec
-		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline, inDoubtSince: rec.InDoubtSince,
+		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline, mayHaveRunAt: rec.MayHaveRunAt,
 			notice: rec.Notice}
 		if r.bug == bugForgetDoubt {
-			msg.inDoubtSince = 0
+			msg.mayHaveRunAt = 0
 		}
 		r.messages = append(r.messages, msg)
 	}
@@ -388,10 +388,10 @@
 		return false
 	}
 	switch {
-	case msg.inDoubtSince == 0 || msg.repeat == decide.Idempotent:
+	case msg.mayHaveRunAt == 0 || msg.repeat == decide.Idempotent:
 		return true
 	case msg.repeat == decide.Deduplicated:
-		return r.bug == bugIgnoreDedupWindow || r.now < msg.inDoubtSince+modelDedupWindowMicros
+		return r.bug == bugIgnoreDedupWindow || r.now < msg.mayHaveRunAt+modelDedupWindowMicros
 	}
 	return false
 }
@@ -424,11 +424,11 @@
 		return
 	case stepNeverRan:
 		if state.firstSent == sent { // the endpoint shows that the attempt did not run
-			state.mayHaveRun = msg.inDoubtSince != 0
+			state.mayHaveRun = msg.mayHaveRunAt != 0
 		}
 	case stepMayHaveRun:
-		if msg.inDoubtSince == 0 {
-			msg.inDoubtSince = sent
+		if msg.mayHaveRunAt == 0 {
+			msg.mayHaveRunAt = sent
 		}
 	}
 	r.perform(&record{Kind: recordOutcome, ID: msg.id, MayHaveRun: kind == stepMayHaveRun}, ignoreResult)
@@ -447,8 +447,8 @@
 // finish ends a message that was not delivered with a notice.
 func (r *modelRelay) finish(msg *relayMessage) {
 	msg.notice = noticeGivenUp
-	if msg.inDoubtSince == 0 || msg.repeat == decide.Idempotent || msg.repeat == decide.Deduplicated &&
-		r.now < msg.inDoubtSince+modelDedupWindowMicros {
+	if msg.mayHaveRunAt == 0 || msg.repeat == decide.Idempotent || msg.repeat == decide.Deduplicated &&
+		r.now < msg.mayHaveRunAt+modelDedupWindowMicros {
 		msg.notice = noticeHandedBack
 	}
 	if r.bug == bugNoticeBeforeRecord && !r.killed {
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -69,14 +69,14 @@
 		var got []string
 		for _, r := range pending {
 			got = append(got, r.ID+" "+string(r.body)+" "+strconv.Itoa(r.Attempts)+" "+
-				strconv.FormatInt(int64(r.InDoubtSince), 10)+" "+r.Notice)
+				strconv.FormatInt(int64(r.MayHaveRunAt), 10)+" "+r.Notice)
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + noticeHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("recovered %q", got)
 		}
 		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 ||
-			r.InDoubtZoneIndex != 1 {
+			r.MayHaveRunZoneIndex != 1 {
 			t.Errorf("recovered %+v", r)
 		}
 	}
@@ -181,9 +181,9 @@
 // reserved when the message is accepted.
 func TestReservedRecordBytes(t *testing.T) {
 	rec := acceptedRecord("9b1f03aa5c7e2d41", "body")
-	rec.Attempts, rec.InDoubtSince, rec.InDoubtZoneIndex, rec.InFlightSince, rec.InFlightZoneIndex, rec.Notice,
+	rec.Attempts, rec.MayHaveRunAt, rec.MayHaveRunZoneIndex, rec.InFlightSince, rec.InFlightZoneIndex, rec.Notice,
 		rec.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, noticeHandedBack, 2000
-	rec.InDoubtZoneName, rec.InFlightZoneName = strings.Repeat("f", maxZoneNameBytes),
+	rec.MayHaveRunZoneName, rec.InFlightZoneName = strings.Repeat("f", maxZoneNameBytes),
 		strings.Repeat("f", maxZoneNameBytes)
 	text, err := rec.encode(nil)
 	if err != nil || int64(len(text)) > reservedRecordBytes(rec) {
--- a/internal/relay/walclock.go
+++ b/internal/relay/walclock.go
@@ -21,7 +21,7 @@
 
 // observe takes note of the instants in a record.
 func (c *logClock) observe(rec *record) {
-	for _, at := range []clock.Instant{rec.Deadline, rec.At, rec.InDoubtSince, rec.InFlightSince} {
+	for _, at := range []clock.Instant{rec.Deadline, rec.At, rec.MayHaveRunAt, rec.InFlightSince} {
 		c.unixTimes = c.unixTimes || clock.IsUnix(at) && c.reading == (clock.Reading{})
 	}
 	if rec.Kind == recordAccepted || rec.Kind == recordAttempt {
@@ -99,8 +99,8 @@
 // convert converts the instants of a message to another clock, by an estimate of the elapsed time.
 func (r *record) convert(conversion clock.Conversion, now clock.Instant) {
 	r.Deadline, r.At = conversion.Estimate(r.Deadline), conversion.Estimate(r.At)
-	r.InDoubtSince, r.InFlightSince = conversion.Estimate(r.InDoubtSince), conversion.Estimate(r.InFlightSince)
-	r.DedupWindowUnknown = r.DedupWindowUnknown || r.InDoubtSince != 0 || r.InFlightSince != 0
+	r.MayHaveRunAt, r.InFlightSince = conversion.Estimate(r.MayHaveRunAt), conversion.Estimate(r.InFlightSince)
+	r.DedupWindowUnknown = r.DedupWindowUnknown || r.MayHaveRunAt != 0 || r.InFlightSince != 0
 	if r.Rules != nil { // no message is accepted with a later deadline
 		r.Deadline = min(r.Deadline, now+clock.Instant(maxDeadlineFactor*r.Rules.Deadline))
 	}
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -96,7 +96,7 @@
 		if deadline := pending["untried"].Deadline; deadline != acceptedAt.Add(20*time.Second) {
 			t.Errorf("step %v: got %v until the deadline, want 17s", step, clock.Until(clk, deadline))
 		}
-		if r := pending["doubt"]; r.DedupWindowUnknown || r.InDoubtSince != acceptedAt {
+		if r := pending["doubt"]; r.DedupWindowUnknown || r.MayHaveRunAt != acceptedAt {
 			t.Errorf("step %v: recovered %+v", step, r)
 		}
 		if len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 ||
@@ -137,7 +137,7 @@
 				if test.left > 0 && left != test.left || test.left <= 0 && left > 0 {
 					t.Errorf("got %v until the deadline, want %v", left, test.left)
 				}
-				if r := pending["doubt"]; !r.DedupWindowUnknown || r.InDoubtSince == 0 {
+				if r := pending["doubt"]; !r.DedupWindowUnknown || r.MayHaveRunAt == 0 {
 					t.Errorf("the deduplication window counts as open: %+v", r)
 				}
 				if len(w.endedRecords()) != 1 {
@@ -290,7 +290,7 @@
 					string(r.body) != "body of keyed-in-doubt" {
 					t.Errorf("recovered %+v", r)
 				}
-				if r := pending["once-refused"]; r.DedupWindowUnknown || r.InDoubtSince != 0 || r.Attempts != 1 {
+				if r := pending["once-refused"]; r.DedupWindowUnknown || r.MayHaveRunAt != 0 || r.Attempts != 1 {
 					t.Errorf("recovered %+v", r)
 				}
 				if r := pending["handed-back"]; r.Notice != noticeHandedBack || r.RetryMS != 250 {
@@ -309,7 +309,7 @@
 		now := r.clock.Now()
 		rec := &record{Kind: recordAccepted, ID: "m", Class: "keyed", Dest: 7, Rules: &rules, MaxAttempts: 8,
 			Deadline: now.Add(testLimit),
-			At:       now, Attempts: 1, InDoubtSince: now, DedupWindowUnknown: unknown}
+			At:       now, Attempts: 1, MayHaveRunAt: now, DedupWindowUnknown: unknown}
 		r.restoreMessages([]*record{rec}, nil)
 		m, e := r.messagesByID["m"], r.policyEvents[len(r.policyEvents)-1]
 		if open := r.now()-e.MayHaveRunAt < rules.DedupWindow; open != want {
--- a/internal/relay/walhealth.go
+++ b/internal/relay/walhealth.go
@@ -10,10 +10,10 @@
 	"troutusher/internal/clock"
 )
 
-// The log while the state folder fails. No new messages are accepted then. Records of messages that
-// were accepted before are applied in memory and postponed, in order. Once the folder works again
-// they are appended to the file or written by a compaction. A timer retries that. Each failure is
-// logged once when it begins and once when it ends.
+// This file handles failures of the state folder. While the folder fails, no new messages are accepted.
+// Records of messages that were accepted before are applied in memory and postponed, in order. Once the
+// folder works again they are appended to the file or written by a compaction. A timer retries that.
+// Each failure is logged once when it begins and once when it ends.
 
 const (
 	firstWriteRetryDelay = 100 * time.Millisecond
@@ -162,6 +162,7 @@
 	return nil
 }
 
+// notifyWritten calls onWritten if it is set.
 func (p *postponedRecord) notifyWritten() {
 	if p.onWritten != nil {
 		p.onWritten()
@@ -250,7 +251,9 @@
 
 // maySendUnrecorded reports whether an attempt may be sent without its record. After a kill the
 // message would be sent again as if the attempt had not been made. That is harmless if its class is
-// safe to repeat, or if its deadline comes before the deduplication window of the attempt ends.
+// idempotent. It is also harmless if its class is deduplicated across zones and its deadline comes
+// before the deduplication window of the attempt ends. With DedupByZone the message could be sent again
+// in another zone, which does not recognize it.
 func (w *wal) maySendUnrecorded(attempt *record) bool {
 	message := w.pending[attempt.ID].rec
 	rules := message.Rules
@@ -265,8 +268,9 @@
 	return false
 }
 
-// whenLastWritten calls onWritten once the last postponed record is written. For a recordEnding that
-// is at the deadline of its message at the latest: no later process would send the message after it.
+// whenLastWritten calls onWritten once the last postponed record is written. If that is a recordEnding
+// and still not written at the deadline of its message, onWritten is called at the next retry: after the
+// deadline no later process would send the message any more.
 func (w *wal) whenLastWritten(onWritten func()) {
 	if last := len(w.health.postponed) - 1; last >= 0 {
 		w.health.postponed[last].onWritten = onWritten
