--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -442,7 +442,7 @@
 	c.closeIdleConns()
 }
 
-// undrain serves clients again. It reports false where the client side is shutting down.
+// undrain ends the effect of drain. It reports false where the client side is shutting down.
 func (c *clients) undrain() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -60,11 +60,11 @@
 
 // handoverState is the predecessor's state that is not in its log.
 type handoverState struct {
-	LogName     string                     `json:"log"`    // file name of the predecessor's log
-	EndpointIDs map[decide.Endpoint]string `json:"names"`  // by the predecessor's endpoint numbers
-	Memory      *decide.Snapshot           `json:"memory"` // of the policy
-	Waits       map[string]decide.Time     `json:"waits"`  // end of the waits that endpoints asked for, by endpoint id
-	Calls       []inFlightCall             `json:"calls"`
+	LogName        string                     `json:"log"`   // file name of the predecessor's log
+	EndpointIDs    map[decide.Endpoint]string `json:"names"` // by the predecessor's endpoint numbers
+	PolicySnapshot *decide.Snapshot           `json:"memory"`
+	Waits          map[string]decide.Time     `json:"waits"` // end of the waits that endpoints asked for, by endpoint id
+	Calls          []inFlightCall             `json:"calls"`
 }
 
 // inFlightCall is one message of a call that the predecessor has in flight and finishes. Messages of
@@ -286,7 +286,7 @@
 	return state
 }
 
-// restoreHandover restores the predecessor's state: the policy's memory, the waits of endpoints and the
+// restoreHandover restores the predecessor's state: the policy's snapshot, the waits of endpoints and the
 // calls in flight. It returns those calls by message id.
 func (r *Relay) restoreHandover(state *handoverState, p *peer) map[string]*call {
 	currentNum := func(old decide.Endpoint) decide.Endpoint {
@@ -296,20 +296,20 @@
 		}
 		return 0
 	}
-	if state.Memory != nil {
-		for i := range state.Memory.Limiters {
-			limiter := &state.Memory.Limiters[i]
+	if state.PolicySnapshot != nil {
+		for i := range state.PolicySnapshot.Limiters {
+			limiter := &state.PolicySnapshot.Limiters[i]
 			for j := range limiter.Endpoints {
 				entry := &limiter.Endpoints[j]
 				entry.Endpoint = currentNum(entry.Endpoint)
-				if at, ok := r.directory.Get(membership.Number(entry.Endpoint)); ok {
-					limiter.Dest = at.Dest // earlier releases do not send it
+				if listed, ok := r.directory.Get(membership.Number(entry.Endpoint)); ok {
+					limiter.Dest = listed.Dest // earlier releases do not send it
 				}
 			}
 			limiter.Endpoints = slices.DeleteFunc(limiter.Endpoints,
 				func(entry decide.EndpointSnapshot) bool { return entry.Endpoint == 0 })
 		}
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: state.Memory})
+		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvSnapshot, Snapshot: state.PolicySnapshot})
 	}
 	for id, until := range state.Waits {
 		if entry, ok := r.directory.Find(id); ok {
@@ -561,11 +561,11 @@
 // collectHandoverState returns the state to hand over that is not in the log.
 func (r *Relay) collectHandoverState() *handoverState {
 	state := &handoverState{LogName: filepath.Base(r.wal.path), EndpointIDs: map[decide.Endpoint]string{},
-		Memory: r.policy.Snapshot(),
-		Waits:  map[string]decide.Time{}}
-	for _, limiter := range state.Memory.Limiters {
-		for _, memory := range limiter.Endpoints {
-			state.EndpointIDs[memory.Endpoint], _ = r.directory.Text(membership.Number(memory.Endpoint))
+		PolicySnapshot: r.policy.Snapshot(),
+		Waits:          map[string]decide.Time{}}
+	for _, limiter := range state.PolicySnapshot.Limiters {
+		for _, saved := range limiter.Endpoints {
+			state.EndpointIDs[saved.Endpoint], _ = r.directory.Text(membership.Number(saved.Endpoint))
 		}
 	}
 	for num, ep := range r.endpoints {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -248,9 +248,9 @@
 			}()
 		}
 	}
-	var unfinished []*record
+	var pending []*record
 	if !r.retryUntilFolderWorks(func() (err error) {
-		r.wal, unfinished, err = openWAL(slots, int64(cfg.Limits.DiskMB)<<20,
+		r.wal, pending, err = openWAL(slots, int64(cfg.Limits.DiskMB)<<20,
 			func(id string) bool { return predecessorCalls[id] != nil }, clk, log)
 		return err
 	}) {
@@ -268,7 +268,7 @@
 	if len(predecessorCalls) == 0 && r.predecessor == nil { // a predecessor that hands over reports the outages itself
 		r.resumeOutages(r.wal.outageRecords())
 	}
-	r.restoreMessages(unfinished, predecessorCalls)
+	r.restoreMessages(pending, predecessorCalls)
 	r.recovering = false
 	r.step()
 	listener, err := r.openListener()
@@ -279,7 +279,7 @@
 	go r.adoptOrphanedLogs(ctx, slots)
 	endpoints, destinations := r.directory.Len()
 	log.Info("ready", "name", cfg.Name, "listen", listener.Addr().String(), "endpoints", endpoints,
-		"destinations", destinations, "owed", len(unfinished),
+		"destinations", destinations, "owed", len(pending),
 		"out", len(predecessorCalls), "beside_another", r.otherProcessRuns)
 	r.loop(listener)
 	return nil
@@ -315,7 +315,7 @@
 	}
 }
 
-// restoreMessages takes over the unfinished messages of an earlier process. Those in predecessorCalls
+// restoreMessages takes over the pending messages of an earlier process. Those in predecessorCalls
 // have a call in flight that the predecessor finishes and reports.
 func (r *Relay) restoreMessages(records []*record, predecessorCalls map[string]*call) {
 	for _, rec := range records {
@@ -537,8 +537,8 @@
 		req.sendReply(r.endedReplies.reply(req.record.ID))
 		return
 	case !r.directory.Knows(req.record.Dest):
-		// Nothing could be sent to it. A destination whose endpoints are only temporarily gone has been
-		// named before.
+		// Nothing could be sent to it. A destination whose endpoints are only temporarily gone is
+		// known from an earlier list.
 		req.sendReply(resp.Error(fmt.Errorf("dest: no list names %d", req.record.Dest)))
 		return
 	case r.cfg.Policy.MaxHeld > 0 && r.heldCount >= r.cfg.Policy.MaxHeld:
@@ -634,15 +634,15 @@
 
 // add keeps the reply for a message id. It begins a new generation, and drops the previous one, if the
 // current one is older than the retention time.
-func (p *endedReplies) add(id, reply string, now, retention decide.Time) {
-	if p.current == nil || now-p.rotatedAt >= retention {
-		p.current, p.previous, p.rotatedAt = map[string]string{}, p.current, now
+func (e *endedReplies) add(id, reply string, now, retention decide.Time) {
+	if e.current == nil || now-e.rotatedAt >= retention {
+		e.current, e.previous, e.rotatedAt = map[string]string{}, e.current, now
 	}
-	p.current[id] = reply
+	e.current[id] = reply
 }
 
 // reply returns the reply for a message id, or "" if none is kept.
-func (p *endedReplies) reply(id string) string { return cmp.Or(p.current[id], p.previous[id]) }
+func (e *endedReplies) reply(id string) string { return cmp.Or(e.current[id], e.previous[id]) }
 
 // rememberReply keeps the reply that states how a message ended, for the longest deadline of any class.
 func (r *Relay) rememberReply(msg *message, reply string) {
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -440,7 +440,7 @@
 	}
 }
 
-// apply updates the state in memory with a record that was written or replayed.
+// apply updates the state in memory with a record that was written, postponed or replayed.
 func (w *wal) apply(rec *record) {
 	w.replayClock.observe(rec)
 	live := w.pending[rec.ID]
--- a/internal/relay/walhealth.go
+++ b/internal/relay/walhealth.go
@@ -42,9 +42,9 @@
 	onChange           func(failing bool) // called when failing changes; may be nil
 }
 
-// postponedRecord is a record or a call that waits until the folder works again.
+// postponedRecord is a record or a callback that waits until the folder works again.
 type postponedRecord struct {
-	rec       *record       // nil for a call alone
+	rec       *record       // nil for a callback alone
 	onWritten func()        // called once everything up to rec is written; may be nil
 	callBy    clock.Instant // when onWritten is called even if rec is not written; zero for never
 }
