--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -373,7 +373,7 @@
 		after := newRelay(settings(`{"deadline_us":9000000,"dedup_window_us":0,"group":"all","late_worth":0.1,"name":"new","repeat":"retryable","target_us":1,"worth":9}`,
 			other+","+acme, localities))
 		recovered, _ := decodeRecord(text)
-		recovered.markInFlightInDoubt()
+		recovered.markInFlightMayHaveRun()
 		after.restoreMessages([]*record{recovered}, nil)
 		restored := after.policyEvents[len(after.policyEvents)-1]
 		if restored.MayHaveRunZone != wantZone || restored.Tenant != 1 ||
