--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -228,6 +228,9 @@
 		t.Fatal(s)
 	}
 	waitFor(t, "an attempt", func() bool { return endpoint.callCount("owed") > 0 })
+	// Killed before the outcome is in the log, the message may have run, and the next process gives it up.
+	waitFor(t, "the outcome of the attempt in the log",
+		func() bool { return strings.Contains(readLogText(env), `"kind":"outcome","id":"owed"`) })
 	c.kill()
 	movedFolder := env["ROUTER_STATE"] + ".away"
 	if err := os.Rename(env["ROUTER_STATE"], movedFolder); err != nil {
