--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -414,8 +414,8 @@
 						b.ReportMetric(sum.worstBegin, "worst-begin")
 						b.ReportMetric(sum.windowShare(sum.overEnd), "over-end")
 						b.ReportMetric(sum.worstEnd, "worst-end")
-						b.ReportMetric(sum.windowShare(sum.repeatedFailures), "repeated-failures")
-						b.ReportMetric(sum.deliveredShare(), "delivered")
+						b.ReportMetric(sum.windowShare(sum.repeatedFailures), "broken")
+						b.ReportMetric(sum.deliveredShare(), "served")
 						b.ReportMetric(0, "ns/op")
 					})
 			}
