--- a/decide/decide.go
+++ b/decide/decide.go
@@ -7,7 +7,8 @@
 // destinations, and memory.go takes and restores snapshots. containers.go holds plain data structures.
 //
 // In comments, a wait is the time for which an endpoint asked not to be called (Retry-After), and a round is
-// the time in which each relay sends one call at the capacity of a limiter (see roundSeconds).
+// the time in which each relay sends one call at the capacity of a limiter (see roundSeconds). A message is
+// inherited if an earlier process accepted it.
 package decide
 
 import (
--- a/internal/relay/crossing_test.go
+++ b/internal/relay/crossing_test.go
@@ -412,7 +412,7 @@
 }
 
 // TestClientLeavesAfterBurst: when a client pipelines messages and disconnects before the replies, the relay holds
-// none of them for ever: each message that was logged as accepted ends, and none is sent twice.
+// none of them indefinitely: each message that was logged as accepted ends, and none is sent twice.
 func TestClientLeavesAfterBurst(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	discovery := newFakeDiscovery(t, endpoint.member("s-1", 7))
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -269,7 +269,7 @@
 }
 
 // Guards Retry-After: it cancels calls that started earlier and still wait for a connection. It applies to the
-// endpoint that sent it if that is a separate route, and otherwise to all endpoints of its destination, but to no
+// endpoint that sent it if endpoints have separate limits, and otherwise to all endpoints of its destination, but to no
 // other.
 func TestRetryAfterCancelsUnsentCalls(t *testing.T) {
 	for _, separate := range []bool{true, false} {
@@ -298,15 +298,15 @@
 		r.handleCallResult(throttled, nil, &callResult{outcome: decide.Rejected, retryAfter: 700e3})
 		for i, cancelled := range []bool{true, !separate, false} {
 			if got := calls[i].stage.Load() == callCancelled; got != cancelled || got != (calls[i].ctx.Err() != nil) {
-				t.Errorf("separate routes %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got,
+				t.Errorf("separate limits %v: call to endpoint %d cancelled: got %v, want %v", separate, i, got,
 					cancelled)
 			}
 			if got := calls[i].ep.waitUntil > r.now(); got != cancelled {
-				t.Errorf("separate routes %v: endpoint %d waits: got %v, want %v", separate, i, got, cancelled)
+				t.Errorf("separate limits %v: endpoint %d waits: got %v, want %v", separate, i, got, cancelled)
 			}
 		}
 		if sending.ctx.Err() != nil {
-			t.Errorf("separate routes %v: a call that was being sent was cancelled", separate)
+			t.Errorf("separate limits %v: a call that was being sent was cancelled", separate)
 		}
 	}
 }
--- a/internal/relay/faulty_agent_test.go
+++ b/internal/relay/faulty_agent_test.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/membership"
 )
 
-// If discovery cannot be dialled, the relay must back off rather than retry in a busy loop. That includes an errno
+// If discovery cannot be dialed, the relay must back off rather than retry in a busy loop. That includes an errno
 // that counts as a timeout: the dial failed at once, so the error is not a silent connection.
 func TestDiscoveryDialDoesNotSpin(t *testing.T) {
 	const span = 400 * time.Millisecond
@@ -37,7 +37,7 @@
 	}
 }
 
-// If the agent cannot be dialled, notices must be retried after a backoff rather than in a busy loop.
+// If the agent cannot be dialed, notices must be retried after a backoff rather than in a busy loop.
 func TestNoticesDialDoesNotSpin(t *testing.T) {
 	const span = 400 * time.Millisecond
 	for _, errno := range append(append([]syscall.Errno{}, localErrnos...), remoteErrnos...) {
--- a/internal/relay/faulty_call_test.go
+++ b/internal/relay/faulty_call_test.go
@@ -60,7 +60,7 @@
 			before := calls.Load()
 			o := newTestCall().runForResult(t, h, rec, testLimit)
 			if o.outcome != decide.ConnectFailed || calls.Load() != before {
-				t.Errorf("each write fails at byte %d with %v: got %d calls, result %+v, want 0 and NoConnect",
+				t.Errorf("each write fails at byte %d with %v: got %d calls, result %+v, want 0 and ConnectFailed",
 					at, errno, calls.Load()-before, o)
 			}
 		}
@@ -201,7 +201,7 @@
 				return faulty, nil
 			}
 			if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.Rejected || o.retryAfter != 1500000 {
-				t.Errorf("result: got %+v, want the outcome Full and a Retry-After of 1500000 us", o)
+				t.Errorf("result: got %+v, want the outcome Rejected and a Retry-After of 1500000 us", o)
 			}
 		})
 	}
--- a/internal/relay/faulty_dial_test.go
+++ b/internal/relay/faulty_dial_test.go
@@ -74,10 +74,10 @@
 			dials := &faultSchedule{failures: 1 << 30, errno: errno}
 			h.dial = failingDial(h.dial, dials)
 			if o := newTestCall().runForResult(t, h, &record{ID: "m"}, testLimit); o.outcome != decide.ConnectFailed || dials.count() != 1 {
-				t.Errorf("got %d dials and result %+v, want 1 and the outcome NoConnect", dials.count(), o)
+				t.Errorf("got %d dials and result %+v, want 1 and the outcome ConnectFailed", dials.count(), o)
 			}
 			if o := probe(context.Background(), h); o.outcome != decide.ConnectFailed {
-				t.Errorf("probe: got %+v, want the outcome NoConnect", o)
+				t.Errorf("probe: got %+v, want the outcome ConnectFailed", o)
 			}
 		})
 	}
--- a/internal/relay/folderfails_test.go
+++ b/internal/relay/folderfails_test.go
@@ -95,8 +95,8 @@
 	return string(text)
 }
 
-// While the state folder fails under a running relay, new messages are refused and accepted ones are
-// neither lost nor sent without a record where that is unsafe. A kill follows after the folder works again.
+// While the state folder fails under a running relay, new messages are refused, no accepted message is lost,
+// and non-idempotent ones are not sent without a record. A kill follows after the folder works again.
 func TestFolderFailsWhileRunning(t *testing.T) {
 	for _, test := range []struct {
 		errorName  string
@@ -107,41 +107,44 @@
 	} {
 		t.Run(test.errorName, func(t *testing.T) {
 			refusing := respondStatus(http.StatusServiceUnavailable)
-			safe, unsafe := newFakeEndpoint(t, refusing), newFakeEndpoint(t, refusing)
+			idempotent, nonIdempotent := newFakeEndpoint(t, refusing), newFakeEndpoint(t, refusing)
 			held := newFakeEndpoint(t, nil)
-			disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2), held.member("s-3", 3))
+			disc := newFakeDiscovery(t, idempotent.member("s-1", 1), nonIdempotent.member("s-2", 2), held.member("s-3", 3))
 			env := writeTestConfig(t, disc, 3)
 			rewrite(t, env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
 			control := newFolderControl(t, env)
 			c, logged := startLoggedChild(t, env)
 			client := dialClient(t, env["ROUTER_LISTEN"])
-			for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "unsafe": putFields("once", 20000, 2)} {
+			for id, f := range map[string]string{"idempotent": putFields("plain", 20000, 1),
+				"non-idempotent": putFields("once", 20000, 2)} {
 				if s := client.put(id, f, nil); s != "+OK" {
 					t.Fatalf("%s: got reply %q, want +OK", id, s)
 				}
 			}
-			waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("unsafe") > 0 })
+			waitFor(t, "attempts", func() bool {
+				return idempotent.callCount("idempotent") > 0 && nonIdempotent.callCount("non-idempotent") > 0
+			})
 			control.fail(test.errorName, test.operations...)
 			for i := range 20 {
 				expectBusy(t, client.put("refused"+strconv.Itoa(i), putFields("plain", 20000, 3), nil))
 			}
-			before := unsafe.callCount("unsafe")
-			for _, e := range []*fakeEndpoint{safe, unsafe} {
+			before := nonIdempotent.callCount("non-idempotent")
+			for _, e := range []*fakeEndpoint{idempotent, nonIdempotent} {
 				e.respondWith(nil)
 			}
-			sent := safe.callCount("safe")
-			waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
+			sent := idempotent.callCount("idempotent")
+			waitFor(t, "the idempotent message", func() bool { return idempotent.callCount("idempotent") > sent })
 			time.Sleep(500 * time.Millisecond) // long enough for an attempt that must not be made
-			if n := unsafe.callCount("unsafe"); n != before {
-				t.Errorf("the unsafe message was sent %d times without a record, want 0", n-before)
+			if n := nonIdempotent.callCount("non-idempotent"); n != before {
+				t.Errorf("the non-idempotent message was sent %d times without a record, want 0", n-before)
 			}
-			delivered := safe.callCount("safe")
+			delivered := idempotent.callCount("idempotent")
 			control.heal()
 			waitFor(t, "a new message to be accepted",
 				func() bool { return client.put("new", putFields("plain", 20000, 3), nil) == "+OK" })
-			waitFor(t, "the unsafe message", func() bool { return unsafe.callCount("unsafe") > before })
-			waitFor(t, "the end of the unsafe message in the log",
-				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"unsafe"`) })
+			waitFor(t, "the non-idempotent message", func() bool { return nonIdempotent.callCount("non-idempotent") > before })
+			waitFor(t, "the end of the non-idempotent message in the log",
+				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"non-idempotent"`) })
 			waitFor(t, "the end of the new message in the log",
 				func() bool { return strings.Contains(readLogText(env), `"kind":"end","id":"new"`) })
 			c.kill()
@@ -156,11 +159,11 @@
 			}
 			waitFor(t, "a call by the next process", func() bool { return held.callCount("later") == 1 })
 			next.kill()
-			if n := safe.callCount("safe"); n != delivered {
-				t.Errorf("the safe message was sent %d times after its delivery, want 0", n-delivered)
+			if n := idempotent.callCount("idempotent"); n != delivered {
+				t.Errorf("the idempotent message was sent %d times after its delivery, want 0", n-delivered)
 			}
-			if n := unsafe.callCount("unsafe"); n != before+1 {
-				t.Errorf("the unsafe message was sent %d times after the folder worked again, want 1", n-before)
+			if n := nonIdempotent.callCount("non-idempotent"); n != before+1 {
+				t.Errorf("the non-idempotent message was sent %d times after the folder worked again, want 1", n-before)
 			}
 			if n := held.callCount("new"); n != 1 {
 				t.Errorf("the new message was sent %d times, want 1", n)
@@ -170,7 +173,7 @@
 					t.Errorf("a refused message was sent %d times, want 0", n)
 				}
 			}
-			for _, id := range []string{"safe", "unsafe", "new"} {
+			for _, id := range []string{"idempotent", "non-idempotent", "new"} {
 				if n, ok := disc.notice(id); ok {
 					t.Errorf("%s was delivered and also has a notice: %+v", id, n)
 				}
@@ -179,39 +182,41 @@
 	}
 }
 
-// The relay is killed just as the folder works again. A message that was delivered meanwhile and is safe
-// to repeat may be delivered again. One that is not safe is neither sent twice nor ended twice.
+// The relay is killed just as the folder works again. A message that was delivered meanwhile and is
+// idempotent may be delivered again. A non-idempotent one is neither sent twice nor ended twice.
 func TestKilledAsFolderRecovers(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
-	unsafe.respondWith(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
-	disc := newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2))
+	idempotent, nonIdempotent := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)), newFakeEndpoint(t, nil)
+	nonIdempotent.respondWith(func(w http.ResponseWriter, r *http.Request, _ int) { hang(w, r, 0) })
+	disc := newFakeDiscovery(t, idempotent.member("s-1", 1), nonIdempotent.member("s-2", 2))
 	env := writeTestConfig(t, disc, 3)
 	control := newFolderControl(t, env)
 	c := startChild(t, env)
 	client := dialClient(t, env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "out": putFields("once", 20000, 2)} {
+	for id, f := range map[string]string{"idempotent": putFields("plain", 20000, 1), "out": putFields("once", 20000, 2)} {
 		if s := client.put(id, f, nil); s != "+OK" {
 			t.Fatalf("%s: got reply %q, want +OK", id, s)
 		}
 	}
-	waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("out") == 1 })
+	waitFor(t, "attempts", func() bool {
+		return idempotent.callCount("idempotent") > 0 && nonIdempotent.callCount("out") == 1
+	})
 	control.fail("EIO", modifyingOperations...)
 	expectBusy(t, client.put("refused", putFields("plain", 20000, 1), nil))
-	safe.respondWith(nil)
-	sent := safe.callCount("safe")
-	waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
+	idempotent.respondWith(nil)
+	sent := idempotent.callCount("idempotent")
+	waitFor(t, "the idempotent message", func() bool { return idempotent.callCount("idempotent") > sent })
 	control.heal()
 	c.kill()
 	startChild(t, env)
-	waitFor(t, "the notice about the unsafe message",
+	waitFor(t, "the notice about the non-idempotent message",
 		func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == noticeGivenUp })
-	if n := unsafe.callCount("out"); n != 1 {
-		t.Errorf("the unsafe message was sent %d times, want 1", n)
+	if n := nonIdempotent.callCount("out"); n != 1 {
+		t.Errorf("the non-idempotent message was sent %d times, want 1", n)
 	}
-	if n := safe.callCount("refused"); n != 0 {
+	if n := idempotent.callCount("refused"); n != 0 {
 		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
-	if _, ok := disc.notice("safe"); ok {
+	if _, ok := disc.notice("idempotent"); ok {
 		t.Error("a delivered message also has a notice")
 	}
 }
@@ -313,11 +318,11 @@
 }
 
 // During an upgrade while records are postponed, the predecessor's log is incomplete, so it must not be handed over.
-// The successor serves beside the predecessor, and adopts its log once the predecessor has ended.
+// The successor serves beside the predecessor, and adopts that log once the predecessor has ended.
 func TestUpgradeWhileFolderFails(t *testing.T) {
-	safe, unsafe := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)),
+	idempotent, nonIdempotent := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable)),
 		newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
-	s := newReplaceableRelay(t, newFakeDiscovery(t, safe.member("s-1", 1), unsafe.member("s-2", 2)))
+	s := newReplaceableRelay(t, newFakeDiscovery(t, idempotent.member("s-1", 1), nonIdempotent.member("s-2", 2)))
 	rewrite(t, s.env, func(text string) string { return strings.Replace(text, `"most_tries":8`, `"most_tries":200`, 1) })
 	control := newFolderControl(t, s.env)
 	start := func() (*child, *childLog) {
@@ -330,44 +335,47 @@
 	old, oldLogged := start()
 	old.waitReady(t)
 	client := dialClient(t, s.env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"safe": putFields("plain", 20000, 1), "unsafe": putFields("once", 20000, 2)} {
+	for id, f := range map[string]string{"idempotent": putFields("plain", 20000, 1),
+		"non-idempotent": putFields("once", 20000, 2)} {
 		if reply := client.put(id, f, nil); reply != "+OK" {
 			t.Fatalf("%s: got reply %q, want +OK", id, reply)
 		}
 	}
-	waitFor(t, "attempts", func() bool { return safe.callCount("safe") > 0 && unsafe.callCount("unsafe") > 0 })
+	waitFor(t, "attempts", func() bool {
+		return idempotent.callCount("idempotent") > 0 && nonIdempotent.callCount("non-idempotent") > 0
+	})
 	control.fail("EIO", modifyingOperations...)
 	expectBusy(t, client.put("refused", putFields("plain", 20000, 1), nil))
-	safe.respondWith(nil)
-	sent := safe.callCount("safe")
-	waitFor(t, "the safe message", func() bool { return safe.callCount("safe") > sent })
-	delivered := safe.callCount("safe")
+	idempotent.respondWith(nil)
+	sent := idempotent.callCount("idempotent")
+	waitFor(t, "the idempotent message", func() bool { return idempotent.callCount("idempotent") > sent })
+	delivered := idempotent.callCount("idempotent")
 	_, logged := start()
 	waitFor(t, "the hand-over to be refused",
 		func() bool { return logged.count("the predecessor does not hand over") == 1 })
 	waitFor(t, "the new process", func() bool { return logged.count("msg=ready") == 1 })
-	before := unsafe.callCount("unsafe")
-	unsafe.respondWith(nil)
+	before := nonIdempotent.callCount("non-idempotent")
+	nonIdempotent.respondWith(nil)
 	control.heal()
 	for _, l := range []*childLog{oldLogged, logged} {
 		waitFor(t, "the folder to work again", func() bool { return l.count("state folder: works again") == 1 })
 	}
-	waitFor(t, "the unsafe message", func() bool { return unsafe.callCount("unsafe") > before })
+	waitFor(t, "the non-idempotent message", func() bool { return nonIdempotent.callCount("non-idempotent") > before })
 	old.kill()
 	client = dialClient(t, s.env["ROUTER_LISTEN"])
 	if reply := client.put("later", putFields("plain", 20000, 1), nil); reply != "+OK" {
 		t.Fatal(reply)
 	}
-	waitFor(t, "a call by the new process", func() bool { return safe.callCount("later") == 1 })
+	waitFor(t, "a call by the new process", func() bool { return idempotent.callCount("later") == 1 })
 	left := filepath.Join(s.env["ROUTER_STATE"], walFileName)
 	waitFor(t, "the old process's log to be adopted", func() bool { _, err := os.Stat(left); return err != nil })
-	if n := unsafe.callCount("unsafe") - before; n != 1 {
-		t.Errorf("the unsafe message was delivered %d times, want 1", n)
+	if n := nonIdempotent.callCount("non-idempotent") - before; n != 1 {
+		t.Errorf("the non-idempotent message was delivered %d times, want 1", n)
 	}
-	if n := safe.callCount("safe") - delivered; n != 0 {
-		t.Errorf("the safe message was sent %d times after its delivery, want 0", n)
+	if n := idempotent.callCount("idempotent") - delivered; n != 0 {
+		t.Errorf("the idempotent message was sent %d times after its delivery, want 0", n)
 	}
-	if n := safe.callCount("refused"); n != 0 {
+	if n := idempotent.callCount("refused"); n != 0 {
 		t.Errorf("the refused message was sent %d times, want 0", n)
 	}
 }
--- a/internal/relay/fuzz_answer_test.go
+++ b/internal/relay/fuzz_answer_test.go
@@ -135,7 +135,8 @@
 		t.Errorf("slots taken: got outcome %d with status %d, want NotSent with 503", result.outcome, status)
 	}
 	if result.tooManyConns && (result.outcome != decide.Rejected || result.retryAfter != 0) {
-		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Full and 0", result.outcome, result.retryAfter)
+		t.Errorf("too many connections: got outcome %d and Retry-After %d, want Rejected and 0", result.outcome,
+			result.retryAfter)
 	}
 	if (result.malformed || result.err != nil) && result.outcome.NeverRan() {
 		t.Errorf("malformed response (%v): got an outcome of a call that has not run", result.err)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -314,7 +314,7 @@
 		return ok && n.Outcome == noticeGivenUp
 	})
 	if n := hanging.callCount("in-flight"); n != 1 {
-		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
+		t.Errorf("calls with a non-idempotent message: got %d, want 1", n)
 	}
 }
 
@@ -381,29 +381,29 @@
 	relay := newReplaceableRelay(t, discovery)
 	predecessor := relay.startProcess(t)
 	client := dialClient(t, relay.env["ROUTER_LISTEN"])
-	if got := client.put("unsafe", putFields("once", 20000, 1), nil); got != "+OK" {
+	if got := client.put("non-idempotent", putFields("once", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	if got := client.put("safe", putFields("plain", 20000, 1), nil); got != "+OK" {
+	if got := client.put("idempotent", putFields("plain", 20000, 1), nil); got != "+OK" {
 		t.Fatal(got)
 	}
-	waitFor(t, "a call", func() bool { return hanging.callCount("unsafe")+hanging.callCount("safe") >= 1 })
-	firstSent := "unsafe"
-	if hanging.callCount("safe") > 0 {
-		firstSent = "safe"
+	waitFor(t, "a call", func() bool { return hanging.callCount("non-idempotent")+hanging.callCount("idempotent") >= 1 })
+	firstSent := "non-idempotent"
+	if hanging.callCount("idempotent") > 0 {
+		firstSent = "idempotent"
 	}
 	relay.startProcess(t)
 	hanging.respondWith(nil)
 	predecessor.kill()
-	if firstSent == "unsafe" {
+	if firstSent == "non-idempotent" {
 		waitFor(t, "the notice for the message that may have run", func() bool {
-			n, ok := discovery.notice("unsafe")
+			n, ok := discovery.notice("non-idempotent")
 			return ok && n.Outcome == noticeGivenUp
 		})
 	}
-	waitFor(t, "a call with the message that is safe to repeat", func() bool { return hanging.callCount("safe") >= 1 })
-	if n := hanging.callCount("unsafe"); n != 1 && firstSent == "unsafe" {
-		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
+	waitFor(t, "a call with the idempotent message", func() bool { return hanging.callCount("idempotent") >= 1 })
+	if n := hanging.callCount("non-idempotent"); n != 1 && firstSent == "non-idempotent" {
+		t.Errorf("calls with a non-idempotent message: got %d, want 1", n)
 	}
 }
 
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -263,8 +263,8 @@
 	return n, err
 }
 
-// Guards unsafe messages against kept connections that their endpoint has dropped without notice: the reset arrives
-// before the last byte of the call is written, so the call is sent on another connection and runs once.
+// Guards non-idempotent messages against kept connections that their endpoint has dropped without notice: the reset
+// arrives before the last byte of the call is written, so the call is sent on another connection and runs once.
 func TestConnectionDroppedWithoutNotice(t *testing.T) {
 	var conns, calls atomic.Int32
 	p := testPool(t)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestRecoveryAfterKill: accepted messages survive SIGKILL. An unsafe message whose attempt has no outcome may have
-// run and is given up by a notice, a keyed one is sent again within its deduplication window, one that was only
+// TestRecoveryAfterKill: accepted messages survive SIGKILL. A non-idempotent message whose attempt has no outcome may
+// have run and is given up by a notice, a keyed one is sent again within its deduplication window, one that was only
 // refused is tried further, and a delivered one is not sent again.
 func TestRecoveryAfterKill(t *testing.T) {
 	delivered := newFakeEndpoint(t, nil)
@@ -70,7 +70,7 @@
 		endpoint.respondWith(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "the notice of the unsafe message", func() bool {
+	waitFor(t, "the notice of the non-idempotent message", func() bool {
 		n, ok := discovery.notice("stuck")
 		return ok && n.Outcome == noticeGivenUp
 	})
@@ -78,7 +78,7 @@
 		return full.callCount("full") >= 2 && keyed.callCount("keyed") == 2
 	})
 	if n := stuck.callCount("stuck"); n != 1 {
-		t.Errorf("calls of the unsafe message: got %d, want 1", n)
+		t.Errorf("calls of the non-idempotent message: got %d, want 1", n)
 	}
 	if n := delivered.callCount("delivered"); n != 1 {
 		t.Errorf("calls of the delivered message: got %d, want 1", n)
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -79,9 +79,10 @@
 	}
 }
 
-// TestReloadChangesClasses: a reload changes the classes of pending messages. A message that was accepted as unsafe to
-// repeat keeps that rule when the file declares its class safe, when the file no longer has the class, and when the
-// process is killed afterwards. A message of a class that the file adds is accepted right after the reload.
+// TestReloadChangesClasses: a reload changes the classes of pending messages. A message that was accepted as
+// non-idempotent keeps that rule when the file declares its class idempotent, when the file no longer has the class,
+// and when the process is killed afterwards. A message of a class that the file adds is accepted right after the
+// reload.
 func TestReloadChangesClasses(t *testing.T) {
 	hanging := newFakeEndpoint(t, hang)
 	rejecting := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
@@ -127,6 +128,6 @@
 		return ok && n.Outcome == noticeGivenUp
 	})
 	if n := hanging.callCount("in-flight"); n != 1 {
-		t.Errorf("calls with a message that is unsafe to repeat: got %d, want 1", n)
+		t.Errorf("calls with a non-idempotent message: got %d, want 1", n)
 	}
 }
--- a/internal/relay/size_test.go
+++ b/internal/relay/size_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	smallestMemoryMB   = 32   // the least memory that the platform gives a relay
-	smallestSockets    = 256  // the fewest descriptors that the platform gives a relay
-	maxListedEndpoints = 1024 // the most endpoints that the platform lists
+	smallestMemoryMB   = 32   // the least memory that a deployment gives a relay
+	smallestSockets    = 256  // the fewest descriptors that a deployment gives a relay
+	maxListedEndpoints = 1024 // the most endpoints that discovery lists
 )
 
 // TestLargestFleetOnSmallestMachine: a relay on the smallest machine, with as many relays and endpoints as any
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestNoRepeatAfterDedupWindow: a message that may have run before is not sent after its deduplication window has
-// closed. If the window closes while the connection is dialled, the call is sent without the message. If it closes
+// closed. If the window closes while the connection is dialed, the call is sent without the message. If it closes
 // between the first and the last byte of a call, that call is not completed.
 func TestNoRepeatAfterDedupWindow(t *testing.T) {
 	addr, ids := acceptingEndpoint(t)
@@ -263,8 +263,8 @@
 }
 
 // TestEndedMessagesAreKnownAfterRestart: the id of an ended message that must not take effect twice is kept across
-// restarts. A client that hands it in again gets the reply for how it ended, and no endpoint is called. A message that
-// is safe to repeat is accepted and delivered again.
+// restarts. A client that hands it in again gets the reply for how it ended, and no endpoint is called. An
+// idempotent message is accepted and delivered again.
 func TestEndedMessagesAreKnownAfterRestart(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	env := writeTestConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
@@ -290,7 +290,7 @@
 		for _, class := range []string{"once", "keyed", "plain"} {
 			mustPut(class, class)
 		}
-		waitFor(t, "a further call with the message that is safe to repeat", func() bool {
+		waitFor(t, "a further call with the idempotent message", func() bool {
 			return endpoint.callCount("plain") == restart+2
 		})
 		mustPut(fmt.Sprint("marker", restart), "once")
@@ -298,7 +298,7 @@
 			return endpoint.callCount(fmt.Sprint("marker", restart)) == 1
 		})
 		if endpoint.callCount("once") != 1 || endpoint.callCount("keyed") != 1 {
-			t.Fatalf("after %d restarts: got %d calls with the unsafe message and %d with the keyed one, want 1 each",
+			t.Fatalf("after %d restarts: got %d calls with the non-idempotent message and %d with the keyed one, want 1 each",
 				restart+1, endpoint.callCount("once"), endpoint.callCount("keyed"))
 		}
 	}
@@ -317,12 +317,12 @@
 	}
 	onceClass, inOneMinute := cfg.classes["once"], clock.System().Now().Add(time.Minute)
 	appendAccepted("long-ago", onceClass, clock.System().Now().Add(-time.Hour))
-	appendAccepted("safe", cfg.classes["plain"], inOneMinute)
+	appendAccepted("idempotent", cfg.classes["plain"], inOneMinute)
 	appendAccepted("withdrawn", onceClass, inOneMinute)
 	mustAppend(t, log, &record{Kind: recordEnd, ID: "long-ago", MayHaveRun: true},
-		&record{Kind: recordEnd, ID: "safe", MayHaveRun: true}, &record{Kind: recordEnd, ID: "withdrawn"})
+		&record{Kind: recordEnd, ID: "idempotent", MayHaveRun: true}, &record{Kind: recordEnd, ID: "withdrawn"})
 	if n := len(log.endedRecords()); n != 0 {
-		t.Fatalf("ids kept of messages that are safe to repeat, never ran, or expired long ago: got %d, want 0", n)
+		t.Fatalf("ids kept of messages that are idempotent, never ran, or expired long ago: got %d, want 0", n)
 	}
 	const total = 1000
 	for i := range total {
--- a/internal/relay/wal_faults_test.go
+++ b/internal/relay/wal_faults_test.go
@@ -118,18 +118,18 @@
 			dir := t.TempDir()
 			folder := newFaultyFolder()
 			w, _ := openFaultyWAL(t, dir, folder, 1<<20, discardLogger())
-			mustAppend(t, w, acceptedWithRepeat("safe", decide.Idempotent),
-				acceptedWithRepeat("unsafe", decide.NonIdempotent),
+			mustAppend(t, w, acceptedWithRepeat("idempotent", decide.Idempotent),
+				acceptedWithRepeat("non-idempotent", decide.NonIdempotent),
 				acceptedWithRepeat("ended", decide.NonIdempotent),
 				acceptedWithRepeat("done", decide.NonIdempotent), &record{Kind: recordAttempt, ID: "done", At: 10},
-				&record{Kind: recordAttempt, ID: "unsafe", At: 20})
+				&record{Kind: recordAttempt, ID: "non-idempotent", At: 20})
 			folder.fail(syscall.EIO, 3, operations...)
 			if err := w.append(acceptedWithRepeat("new", decide.Idempotent), false); err == nil {
 				t.Fatal("a new message was accepted")
 			}
 			mustAppend(t, w, &record{Kind: recordEnd, ID: "done", MayHaveRun: true},
-				&record{Kind: recordOutcome, ID: "unsafe"}, &record{Kind: recordAttempt, ID: "safe", At: 30},
-				&record{Kind: recordOutcome, ID: "safe", MayHaveRun: true})
+				&record{Kind: recordOutcome, ID: "non-idempotent"}, &record{Kind: recordAttempt, ID: "idempotent", At: 30},
+				&record{Kind: recordOutcome, ID: "idempotent", MayHaveRun: true})
 			notified := false
 			w.perform(walOp{rec: &record{Kind: recordEnding, ID: "ended", Notice: noticeHandedBack, RetryMS: 7},
 				onDone: func(error) { notified = true }})
@@ -140,7 +140,7 @@
 			if !w.health.failing || notified {
 				t.Fatal("the log counts as working, or the notice was sent, while the folder fails")
 			}
-			if found := recoverCopy(t, dir); len(found) != 4 || found["unsafe"].MayHaveRunAt != 20 ||
+			if found := recoverCopy(t, dir); len(found) != 4 || found["non-idempotent"].MayHaveRunAt != 20 ||
 				found["ended"].Notice != "" {
 				t.Errorf("killed meanwhile: recovered %d messages, want 4 in their old state", len(found))
 			}
@@ -153,11 +153,11 @@
 			if len(found) != 3 || found["done"] != nil {
 				t.Fatalf("recovered %d messages, want 3 without \"done\"", len(found))
 			}
-			if r := found["unsafe"]; r.Attempts != 1 || r.MayHaveRunAt != 0 || r.InFlightSince != 0 {
-				t.Errorf("unsafe: recovered %+v, want one attempt that has not run", r)
+			if r := found["non-idempotent"]; r.Attempts != 1 || r.MayHaveRunAt != 0 || r.InFlightSince != 0 {
+				t.Errorf("non-idempotent: recovered %+v, want one attempt that has not run", r)
 			}
-			if r := found["safe"]; r.Attempts != 1 || r.MayHaveRunAt != 30 {
-				t.Errorf("safe: recovered %+v, want one attempt that may have run since 30", r)
+			if r := found["idempotent"]; r.Attempts != 1 || r.MayHaveRunAt != 30 {
+				t.Errorf("idempotent: recovered %+v, want one attempt that may have run since 30", r)
 			}
 			if r := found["ended"]; r.Notice != noticeHandedBack || r.RetryMS != 7 {
 				t.Errorf("ended: recovered %+v, want the notice handed_back with 7 ms", r)
@@ -185,8 +185,8 @@
 		message *record
 		allowed bool
 	}{
-		"safe":                              {acceptedWithRepeat("m", decide.Idempotent), true},
-		"unsafe":                            {acceptedWithRepeat("m", decide.NonIdempotent), false},
+		"idempotent":                        {acceptedWithRepeat("m", decide.Idempotent), true},
+		"non-idempotent":                    {acceptedWithRepeat("m", decide.NonIdempotent), false},
 		"keyed, deadline within its window": {keyed(5e6), true},
 		"keyed, deadline after its window":  {keyed(5e6 + 1), false},
 		"keyed, window within one zone":     {local, false},
--- a/internal/relay/wal_model_test.go
+++ b/internal/relay/wal_model_test.go
@@ -18,7 +18,7 @@
 
 // Model-based test of the log. A history is a list of steps: messages are submitted, attempts are sent and
 // end, the folder fails and recovers, the process is killed at any byte. A small relay uses the log as the
-// real one does. The reference model sees only what clients, endpoints and the platform see.
+// real one does. The reference model sees only what clients, endpoints and the platform's agent see.
 
 const (
 	modelDedupWindowMicros = 2e6 // deduplication window of the keyed class
@@ -87,12 +87,12 @@
 	bugNone                     modelBug = "nothing"
 	bugReplyBeforeRecord        modelBug = "replies before the record is written"
 	bugNoAttemptRecord          modelBug = "sends attempts without a record"
-	bugUnsafeUnrecorded         modelBug = "sends an unsafe message although its record failed"
+	bugNonIdempotentUnrecorded  modelBug = "sends a non-idempotent message although its record failed"
 	bugNoEndRecord              modelBug = "does not write ends"
 	bugNoticeBeforeRecord       modelBug = "sends a notice before it is written"
 	bugKeepPartialWrite         modelBug = "does not truncate partial writes"
 	bugDropPostponed            modelBug = "forgets postponed records"
-	bugForgetDoubt              modelBug = "sends again what may have run before a restart"
+	bugForgetMayHaveRun         modelBug = "sends again what may have run before a restart"
 	bugIgnoreDedupWindow        modelBug = "sends a keyed message again after its window"
 	bugOtherNotice              modelBug = "sends another notice after a restart"
 	bugTruncateBeforeCompaction modelBug = "empties the old log before a compaction"
@@ -106,7 +106,7 @@
 	mayHaveRun      bool          // an attempt may have run
 	firstSent       clock.Instant // send of the first such attempt
 	inFlight        bool
-	notice          string // outcome in the notice to the platform; empty for none
+	notice          string // outcome in the notice to the platform's agent; empty for none
 	noticeUnwritten bool   // the notice was sent at the deadline, before its record could be written
 	endWritten      bool   // the end of the message is written
 	endSubmitted    bool   // the end of the message was passed to the log
@@ -134,7 +134,7 @@
 	case msg.notice != "" || msg.endWritten:
 		m.violation(id, "sent after its notice or end")
 	case msg.mayHaveRun && msg.repeat == decide.NonIdempotent:
-		m.violation(id, "unsafe message sent twice")
+		m.violation(id, "non-idempotent message sent twice")
 	case msg.mayHaveRun && msg.repeat == decide.Deduplicated && now >= msg.firstSent+modelDedupWindowMicros:
 		m.violation(id, "sent again after its deduplication window")
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-// checkNotice checks a notice that is sent to the platform.
+// checkNotice checks a notice that is sent to the platform's agent.
 func (m *modelChecker) checkNotice(id, outcome string) {
 	msg := m.messages[id]
 	switch {
@@ -258,7 +258,7 @@
 		found[rec.ID] = rec
 		msg := &relayMessage{id: rec.ID, repeat: rec.Rules.Idempotency, deadline: rec.Deadline,
 			mayHaveRunAt: rec.MayHaveRunAt, notice: rec.Notice}
-		if r.bug == bugForgetDoubt {
+		if r.bug == bugForgetMayHaveRun {
 			msg.mayHaveRunAt = 0
 		}
 		r.messages = append(r.messages, msg)
@@ -410,7 +410,7 @@
 		return
 	}
 	r.perform(&record{Kind: recordAttempt, ID: msg.id, At: r.now}, func(err error) {
-		if err == nil || r.bug == bugUnsafeUnrecorded && !errors.Is(err, errNotPending) {
+		if err == nil || r.bug == bugNonIdempotentUnrecorded && !errors.Is(err, errNotPending) {
 			send()
 		}
 	})
@@ -509,8 +509,8 @@
 // The model must detect each modelBug; otherwise a passing TestLogKeepsDeliveryRules would prove nothing.
 func TestModelDetectsBugs(t *testing.T) {
 	const maxHistories = 3000
-	for _, bug := range []modelBug{bugReplyBeforeRecord, bugNoAttemptRecord, bugUnsafeUnrecorded, bugNoEndRecord,
-		bugNoticeBeforeRecord, bugKeepPartialWrite, bugDropPostponed, bugForgetDoubt, bugIgnoreDedupWindow,
+	for _, bug := range []modelBug{bugReplyBeforeRecord, bugNoAttemptRecord, bugNonIdempotentUnrecorded, bugNoEndRecord,
+		bugNoticeBeforeRecord, bugKeepPartialWrite, bugDropPostponed, bugForgetMayHaveRun, bugIgnoreDedupWindow,
 		bugOtherNotice, bugTruncateBeforeCompaction} {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -77,7 +77,7 @@
 		}
 		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
 			r.Deadline != 1e15 || r.MayHaveRunZoneIndex != 1 {
-			t.Errorf("recovered message b: got %+v, want the values it was accepted with and InDoubtZoneIndex 1", r)
+			t.Errorf("recovered message b: got %+v, want the values it was accepted with and MayHaveRunZoneIndex 1", r)
 		}
 	}
 }
--- a/internal/relay/walclock_test.go
+++ b/internal/relay/walclock_test.go
@@ -75,8 +75,8 @@
 			Rules: &cfg.Policy.Classes[cfg.classes[class]], MaxAttempts: 8})
 	}
 	accept("untried", "plain")
-	accept("doubt", "keyed")
-	mustAppend(t, w, &record{Kind: recordAttempt, ID: "doubt", At: clk.Now()})
+	accept("maybe-ran", "keyed")
+	mustAppend(t, w, &record{Kind: recordAttempt, ID: "maybe-ran", At: clk.Now()})
 	accept("ended", "once")
 	mustAppend(t, w, &record{Kind: recordEnd, ID: "ended", MayHaveRun: true},
 		&record{Kind: recordOutage, ID: "s-1", Outage: &decide.OutageSnapshot{FirstFailureAt: decide.Time(clk.Now()) - 5e6,
@@ -96,7 +96,7 @@
 		if deadline := pending["untried"].Deadline; deadline != acceptedAt.Add(20*time.Second) {
 			t.Errorf("step %v: got %v until the deadline, want 17s", step, clock.Until(clk, deadline))
 		}
-		if r := pending["doubt"]; r.DedupWindowUnknown || r.MayHaveRunAt != acceptedAt {
+		if r := pending["maybe-ran"]; r.DedupWindowUnknown || r.MayHaveRunAt != acceptedAt {
 			t.Errorf("step %v: recovered %+v", step, r)
 		}
 		if len(w.endedRecords()) != 1 || len(w.outageRecords()) != 1 ||
@@ -137,7 +137,7 @@
 				if test.left > 0 && left != test.left || test.left <= 0 && left > 0 {
 					t.Errorf("got %v until the deadline, want %v", left, test.left)
 				}
-				if r := pending["doubt"]; !r.DedupWindowUnknown || r.MayHaveRunAt == 0 {
+				if r := pending["maybe-ran"]; !r.DedupWindowUnknown || r.MayHaveRunAt == 0 {
 					t.Errorf("the deduplication window counts as open: %+v", r)
 				}
 				if len(w.endedRecords()) != 1 {
@@ -381,18 +381,18 @@
 	drained.Phase = phaseDraining
 	r := newSteppedRelay(t, endpoint.member("s-1", servedDest), drained)
 	r.start()
-	doubtful := r.put("doubtful", "keyed", longDeadline, servedDest)
+	mayHaveRun := r.put("maybe-ran", "keyed", longDeadline, servedDest)
 	untried := r.put("untried", "keyed", longDeadline, otherDest)
-	waitFor(t, "the call", func() bool { return endpoint.callCount("doubtful") == 1 })
+	waitFor(t, "the call", func() bool { return endpoint.callCount("maybe-ran") == 1 })
 	r.process.kill()
 	endpoint.respondWith(nil)
 	r.discovery.replaceMember(endpoint.member("s-2", otherDest))
 	r.env[bootIDEnv] = "another"
 	r.restartStepped(0)
 	r.expectDelivered(untried, endpoint, 1)
-	r.awaitNotice(doubtful, endpoint)
-	if calls := endpoint.callCount("doubtful"); calls != 1 {
-		t.Errorf("got %d calls of the message in doubt, want 1", calls)
+	r.awaitNotice(mayHaveRun, endpoint)
+	if calls := endpoint.callCount("maybe-ran"); calls != 1 {
+		t.Errorf("got %d calls of the message that may have run, want 1", calls)
 	}
 	r.verify()
 }
--- a/internal/rig/experiment/history.go
+++ b/internal/rig/experiment/history.go
@@ -47,8 +47,9 @@
 	outages := world.NewOutages(seed, history.DownShare, seconds(history.DownMeanS))
 	partners := partner.NewModel(partner.ModelOptions{Seed: seed, Outages: outages,
 		Capacity:     func(d int) float64 { return listedCapacity(d) * simulatedShare },
-		NoReplyShare: history.NoReplyShare, RetryAfterShare: history.RetryAfterShare, RetryAfter: seconds(history.RetryAfterS),
-		StartCapacity: settings.StartCapacity, RampTime: time.Duration(settings.RampTime) * time.Microsecond,
+		NoReplyShare: history.NoReplyShare, RetryAfterShare: history.RetryAfterShare,
+		RetryAfter: seconds(history.RetryAfterS), StartCapacity: settings.StartCapacity,
+		RampTime:       time.Duration(settings.RampTime) * time.Microsecond,
 		OverloadFactor: settings.OverloadFactor, OverloadTime: time.Duration(settings.OverloadTime) * time.Microsecond})
 	startedAt := time.Now()
 	counts, err := hollow.RunPath(ctx, hollow.PathOptions{Settings: settings, Seed: seed, Relays: history.Simulated,
--- a/internal/rig/experiment/processes.go
+++ b/internal/rig/experiment/processes.go
@@ -390,7 +390,8 @@
 		requestsAfter := b.registry.Total(0)
 		figures[operation.name+"_cpu_us"] = cpuMicrosPerOperation(before, after, operation.count)
 		if operation.name == "change" || operation.name == "reconnect" || operation.name == "full_list" {
-			sent := requestsAfter.SentBytes - requestsAfter.KeepAliveBytes - requestsBefore.SentBytes + requestsBefore.KeepAliveBytes
+			sent := requestsAfter.SentBytes - requestsAfter.KeepAliveBytes - requestsBefore.SentBytes +
+				requestsBefore.KeepAliveBytes
 			figures[operation.name+"_sent_bytes"] = float64(sent) / float64(operation.count)
 		}
 	}
--- a/internal/rig/registry/catalog.go
+++ b/internal/rig/registry/catalog.go
@@ -86,7 +86,8 @@
 		changed: make(chan struct{}), deltaLines: map[int64][]byte{}, latest: firstRevision, oldest: firstRevision}
 	if spec.Shuffled {
 		n := catalog.Len()
-		for catalog.orderStride = int(spec.Seed%uint64(n))*2/3 + n/3; gcd(catalog.orderStride, n) != 1; catalog.orderStride++ {
+		for catalog.orderStride = int(spec.Seed%uint64(n))*2/3 +
+			n/3; gcd(catalog.orderStride, n) != 1; catalog.orderStride++ {
 		}
 	}
 	return catalog, nil
