--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -207,6 +207,15 @@
 	client := dialClient(t, addr)
 	io.WriteString(client, "*1\r\n$4\r\nPING\r\n")
 	client.readLine()
+	// Set before the PING is recorded as finished, closing ends the connection without another read.
+	waitFor(t, "the PING to be recorded as finished", func() bool {
+		server.mu.Lock()
+		defer server.mu.Unlock()
+		for conn := range server.conns {
+			return conn.inFlight == 0
+		}
+		return false
+	})
 	server.mu.Lock()
 	for conn := range server.conns {
 		conn.closing = true // as beginClose leaves it where the first byte was read before its deadline was set
